--- a/umberusher/pipeline/contract_metrics.py
+++ b/umberusher/pipeline/contract_metrics.py
@@ -39,10 +39,10 @@
     debts: Counter[str] = Counter()
     for number, (name, usage) in enumerate(teams.usage.items()):
         team = name if number < MAX_LABELLED_TEAMS else OTHERS_LABEL
-        _add(counts["taken"], team, usage.own)
-        _add(counts["borrowed"], team, usage.borrowed)
-        _add(counts["refused"], team, usage.rejected)
-        _add(counts["retries"], team, usage.retries)
+        _add_counts(counts["taken"], team, usage.own)
+        _add_counts(counts["borrowed"], team, usage.borrowed)
+        _add_counts(counts["refused"], team, usage.rejected)
+        _add_counts(counts["retries"], team, usage.retries)
         if usage.retries_denied:
             counts["retries"][team, "denied"] += usage.retries_denied
         counts["work_ms"][team, ""] += round(usage.work_ms)
@@ -57,14 +57,14 @@
         help_text = "Milliseconds of one thread owed."
         families.append(MetricFamily("svc_team_debt_ms", GAUGE, help_text, samples))
     if unidentified:
-        samples = [Sample({"why": why.lower()}, count) for why, count in unidentified.items()]
+        samples = [Sample({"why": reason.lower()}, count) for reason, count in unidentified.items()]
         help_text = "Calls of no team, by why."
         families.append(MetricFamily("svc_team_strangers_total", COUNTER, help_text, samples))
     return families
 
 
-def _add(counts: Counter[_Key], team: str, more: Mapping[str, int]) -> None:
-    for key, value in more.items():
+def _add_counts(counts: Counter[_Key], team: str, added: Mapping[str, int]) -> None:
+    for key, value in added.items():
         counts[team, key] += value
 
 
--- a/umberusher/pipeline/contracts.py
+++ b/umberusher/pipeline/contracts.py
@@ -53,13 +53,13 @@
     """
 
     __slots__ = (
-        "_day",
         "_emit_event",
         "_handover",
+        "_last_statement_ms",
         "_load_contract",
         "_now_ms",
-        "_statement_ms",
-        "_threads",
+        "_terms_day",
+        "_threads_by_class",
         "_unix_ms",
         "charges",
         "contract",
@@ -89,18 +89,18 @@
         self._unix_ms = unix_ms
         self._load_contract = load_contract
         self._emit_event = emit_event
-        self._day = self._today()
+        self._terms_day = self._today()
         self.teams = TeamAdmission(
-            contract.on(self._day),
+            contract.on(self._terms_day),
             settings.broker_count or 1,
             now_ms(),
             _retry_budget_terms(settings.rules),
         )
         self._handover = TeamHandover(self.teams)
-        self._threads = {each.name: max(each.threads, 1.0) for each in settings.classes}
+        self._threads_by_class = {each.name: max(each.threads, 1.0) for each in settings.classes}
         self.unidentified: Counter[str] = Counter()
         self.charges: dict[str, Charge] = {}
-        self._statement_ms = now_ms()
+        self._last_statement_ms = now_ms()
 
     def _today(self) -> date:
         return datetime.fromtimestamp(self._unix_ms() / 1000.0, UTC).date()
@@ -131,7 +131,7 @@
             team,
             arrival.query_class,
             estimate=arrival.work_ms,
-            threads=self._threads.get(arrival.query_class, 1.0),
+            threads=self._threads_by_class.get(arrival.query_class, 1.0),
             memory_mb=arrival.memory_mb,
             client_retry=arrival.is_retry,
         )
@@ -167,16 +167,16 @@
     def sweep(self) -> None:
         """Apply the terms of a new day; emit the statements when they are due."""
         today = self._today()
-        if today != self._day:
-            self._day = today
+        if today != self._terms_day:
+            self._terms_day = today
             self.teams.change_contract(self._now_ms(), self.contract.on(today))
-        is_due = self._now_ms() - self._statement_ms >= STATEMENT_INTERVAL_MS
+        is_due = self._now_ms() - self._last_statement_ms >= STATEMENT_INTERVAL_MS
         if self._emit_event is not None and is_due:
             self._emit_statements(self._emit_event)
 
     def _emit_statements(self, emit_event: Callable[[str, Mapping[str, object]], None]) -> None:
         """Emit each team's counts since the start."""
-        self._statement_ms = self._now_ms()
+        self._last_statement_ms = self._now_ms()
         for name, usage in self.teams.usage.items():
             fields = {"team": name, "unix_ms": round(self._unix_ms())}
             emit_event("team", fields | usage.event_fields())
@@ -192,8 +192,8 @@
                 log.error("contract_kept new one can't be used: %s", line)
             return
         self.contract = contract
-        self._day = self._today()
-        self.teams.change_contract(self._now_ms(), contract.on(self._day))
+        self._terms_day = self._today()
+        self.teams.change_contract(self._now_ms(), contract.on(self._terms_day))
         log.info("contract_reloaded teams=%d", len(contract.teams))
 
     def metric_families(self) -> list[MetricFamily]:
--- a/umberusher/pipeline/deadline_recorder.py
+++ b/umberusher/pipeline/deadline_recorder.py
@@ -65,11 +65,11 @@
         end = self.account.count_end(summary, outcome, timestamps)
         if end is None or self.account.emit_event is None:
             return
-        spent_ms = dict(request.time_by_phase or {})
+        phase_times_ms = dict(request.time_by_phase or {})
         if attempt:
-            self._add_phase_times(spent_ms, attempt)
+            self._add_phase_times(phase_times_ms, attempt)
         phase = timestamps.phase() if timestamps else PHASES[0]
-        self.account.report_end(summary, end, phase, spent_ms)
+        self.account.report_end(summary, end, phase, phase_times_ms)
 
     def _latency_objective_ms(self, request: Request) -> float | None:
         """Return the time within which a request should be served; None for an unknown class."""
@@ -87,11 +87,11 @@
             request.time_by_phase = {}
         self._add_phase_times(request.time_by_phase, attempt)
 
-    def _add_phase_times(self, spent_ms: dict[str, float], attempt: Attempt) -> None:
+    def _add_phase_times(self, phase_times_ms: dict[str, float], attempt: Attempt) -> None:
         network_delay_ms = self._network_delays.allowance_ms(attempt.engine)
         phases = time_by_phase(attempt.timestamps(), self._now_ms(), network_delay_ms)
         for phase, phase_ms in phases.items():
-            spent_ms[phase] = spent_ms.get(phase, 0.0) + phase_ms
+            phase_times_ms[phase] = phase_times_ms.get(phase, 0.0) + phase_ms
 
     def work_wasted(self, attempt: Attempt, stopped: bool) -> None:
         """Account for an engine's work for a client that has left.
--- a/umberusher/upstream/attempts.py
+++ b/umberusher/upstream/attempts.py
@@ -79,7 +79,7 @@
             timeout_at_ms - now_ms, lambda: self.give_up(attempt, AttemptOutcome.TIMED_OUT)
         )
         message = OutgoingRequest(self._context, attempt, connection, self._remaining_time)
-        connection.carry(attempt, message)
+        connection.enqueue(attempt, message)
 
     def _connect(self, attempt: Attempt) -> EngineConnection | None:
         """Return a connection for an attempt; end the attempt and return None without one."""
@@ -135,7 +135,7 @@
             disposition = choose_disposition(
                 location,
                 len(carrier.attempts) == 1 and not carrier.health_checks,
-                carrier.may_be_unread(attempt) or carrier.receipts.is_overdue(attempt),
+                carrier.can_close_as_unread(attempt) or carrier.receipts.is_overdue(attempt),
             )
             self.given_up[location.name] += 1
             if disposition.action is not SendAction.WITHDRAW:
--- a/umberusher/upstream/cancellation.py
+++ b/umberusher/upstream/cancellation.py
@@ -171,7 +171,7 @@
             self._outcomes.settle(self._channel, cancel, CancelOutcome.CANCELLED)
         return True
 
-    def note_read(self, sent_ms: float) -> None:
+    def mark_read_until(self, sent_ms: float) -> None:
         """Note that the engine has read what was written before this time."""
         if self.unresolved_since_ms is not None and sent_ms >= self.unresolved_since_ms:
             self.unresolved_since_ms = None
--- a/umberusher/upstream/channel.py
+++ b/umberusher/upstream/channel.py
@@ -31,7 +31,7 @@
     def record_round_trip(self, sent_ms: float) -> None:
         """Note that the answer to a line written at ``sent_ms`` has just arrived."""
 
-    def harms_only(self, attempt: Attempt | None) -> bool:
+    def has_no_other_non_idempotent(self, attempt: Attempt | None) -> bool:
         """Return whether a close ends no non-idempotent attempt but this one."""
 
     def release(self, attempt: Attempt) -> bool:
--- a/umberusher/upstream/connection_pool.py
+++ b/umberusher/upstream/connection_pool.py
@@ -122,16 +122,16 @@
         if self.count >= limit and not self._close_one_idle():
             raise ConnectionLimitError
         try:
-            found = net_connection.connect(
+            transport = net_connection.connect(
                 self._context.loop, endpoint.address, INBOUND_BUFFER_BYTES, OUTBOUND_BUFFER_BYTES
             )
         except net_connection.ConnectError as error:
             raise EngineUnreachableError(error.reason) from error
         engine_connection = EngineConnection(
-            self._context, endpoint.engine, found, self._results, self._outcomes, self._remove
+            self._context, endpoint.engine, transport, self._results, self._outcomes, self._remove
         )
         self.by_engine.setdefault(endpoint.engine, []).append(engine_connection)
-        self._context.loop.spawn(found.serve())
+        self._context.loop.spawn(transport.serve())
         return engine_connection
 
     def _remove(self, closed: EngineConnection) -> None:
@@ -142,21 +142,21 @@
             if not connections:
                 del self.by_engine[closed.engine]
 
-    def of_engine(self, engine: str) -> list[EngineConnection]:
+    def connections_to(self, engine: str) -> list[EngineConnection]:
         """Return the connections of one engine, as a list that stays as it is."""
         return list(self.by_engine.get(engine, ()))
 
-    def _all(self) -> list[EngineConnection]:
+    def _all_connections(self) -> list[EngineConnection]:
         return [each for connections in self.by_engine.values() for each in connections]
 
     def _close_one_idle(self) -> bool:
         """Close one idle connection, to make room for another; return whether there was one."""
-        return any(each.close_if_idle() for each in self._all())
+        return any(each.close_if_idle() for each in self._all_connections())
 
     def close_idle(self) -> None:
         """Close the idle connections that will not be used again."""
         now_ms = self._context.now_ms()
-        for each in self._all():
+        for each in self._all_connections():
             if each.is_expiring(now_ms) or not self._context.endpoints.open(each.engine):
                 each.close_if_idle()
 
@@ -172,10 +172,10 @@
         """Close what idles or has stalled, and what has carried all that it may."""
         self.close_idle()
         now_ms = self._context.now_ms()
-        for each in self._all():
+        for each in self._all_connections():
             self._stall_detector.review(each, now_ms)
 
     def close(self) -> None:
         """Close every connection."""
-        for each in self._all():
+        for each in self._all_connections():
             each.transport.close("broker shuts down")
--- a/umberusher/upstream/engine_connection.py
+++ b/umberusher/upstream/engine_connection.py
@@ -137,7 +137,7 @@
             and not self.transport.is_write_stalled()
         )
 
-    def carry(self, attempt: Attempt, message: Message) -> None:
+    def enqueue(self, attempt: Attempt, message: Message) -> None:
         """Queue an attempt's request."""
         request = attempt.request
         attempt.carrier = self
@@ -225,20 +225,20 @@
             and now_ms - self.last_used_ms > keepalive_ms - IDLE_MARGIN_MS
         )
 
-    def harms_only(self, attempt: Attempt | None) -> bool:
+    def has_no_other_non_idempotent(self, attempt: Attempt | None) -> bool:
         """Return whether a close ends no non-idempotent attempt but this one."""
         return all(
             other is attempt or not other.request.non_idempotent for other in self.attempts.values()
         )
 
-    def may_be_unread(self, attempt: Attempt | None = None) -> bool:
+    def can_close_as_unread(self, attempt: Attempt | None = None) -> bool:
         """Return whether the engine may have stopped reading and a close harms only ``attempt``."""
         pending_since_ms = self.delay.pending_since_ms
         if pending_since_ms is None or self.last_received_ms >= pending_since_ms:
             return False
         if self._context.now_ms() - pending_since_ms < MAX_PING_SILENCE_MS:
             return False
-        return self.harms_only(attempt)
+        return self.has_no_other_non_idempotent(attempt)
 
     def record_round_trip(self, sent_ms: float) -> None:
         """Note that the answer to a line written at ``sent_ms`` has just arrived."""
@@ -246,7 +246,7 @@
         round_trip_ms = now_ms - sent_ms
         self._context.network_delays.observe(self.engine, now_ms, round_trip_ms)
         self.delay.probe_answered(now_ms, round_trip_ms)
-        self.cancellations.note_read(sent_ms)
+        self.cancellations.mark_read_until(sent_ms)
 
     def close_if_idle(self) -> bool:
         """Close the connection if it carries nothing; return whether it does."""
--- a/umberusher/upstream/receipts.py
+++ b/umberusher/upstream/receipts.py
@@ -57,9 +57,9 @@
         if not self._context.settings.receipts or attempt.receipt_ms:
             return
         delay_ms = attempt.network_delay_ms + RECEIPT_TOLERANCE_MS + RECEIPT_CHECK_MARGIN_MS
-        self._context.loop.call_later(delay_ms, lambda: self._check(attempt))
+        self._context.loop.call_later(delay_ms, lambda: self._close_if_overdue(attempt))
 
-    def _check(self, attempt: Attempt) -> None:
+    def _close_if_overdue(self, attempt: Attempt) -> None:
         transport = self._channel.transport
         if not attempt.receipt_ms and transport.state is OPEN and self.is_overdue(attempt):
             transport.abort("cancelled request is unread")
@@ -76,4 +76,4 @@
         received_ms = attempt.receipt_ms or self._context.now_ms()
         allowed_ms = attempt.network_delay_ms + RECEIPT_TOLERANCE_MS
         is_late = received_ms - attempt.fully_sent_ms > allowed_ms
-        return is_late and self._channel.harms_only(attempt)
+        return is_late and self._channel.has_no_other_non_idempotent(attempt)
--- a/umberusher/upstream/stall_detection.py
+++ b/umberusher/upstream/stall_detection.py
@@ -35,7 +35,7 @@
             connection.transport.close("reply stalled")
             return
         has_unresolved = connection.cancellations.unresolved_since_ms is not None
-        if has_unresolved and connection.may_be_unread():
+        if has_unresolved and connection.can_close_as_unread():
             # A cancel command lies behind its request: if both are unread, the query begins late.
             connection.transport.abort("cancelled request may be unread")
             return
--- a/umberusher/upstream/upstream.py
+++ b/umberusher/upstream/upstream.py
@@ -70,7 +70,7 @@
 
     def _withdraw_from_engine(self, endpoint: Endpoint) -> None:
         """Withdraw what has not begun from an engine that is draining or gone."""
-        for connection in self.pool.of_engine(endpoint.engine):
+        for connection in self.pool.connections_to(endpoint.engine):
             self.attempts.withdraw_queued(connection)
             connection.close_if_idle()
 
@@ -79,7 +79,7 @@
 
         They are marked first: what is withdrawn is sent again at once, and must not go over them.
         """
-        for connection in self.pool.of_engine(endpoint.engine):
+        for connection in self.pool.connections_to(endpoint.engine):
             connection.superseded = True
         self._withdraw_from_engine(endpoint)
 
