--- a/umberusher/pipeline/admission.py
+++ b/umberusher/pipeline/admission.py
@@ -1,4 +1,4 @@
-"""Admission: passes a request to the decisions, or rejects it at the broker's own limits."""
+"""Admission: passes a request to the decisions, or rejects it by the broker's own limits."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from umberusher.pipeline.request import Attempt, Request
 from umberusher.pipeline.request_registry import RequestRegistry
 
-if TYPE_CHECKING:  # contracts come into memory only where one is named
+if TYPE_CHECKING:  # without a contract none of its modules is loaded
     from umberusher.teams.charge import Rejection
 
 log = logging.getLogger(__name__)
 
 
 class AttemptCanceller(Protocol):
-    """Gives up attempts that are in flight."""
+    """Gives up attempts in flight."""
 
     def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Stop waiting for an attempt, and end it with this outcome where it may have run."""
+        """Stop waiting for an attempt; end it with this outcome if it may have run."""
 
 
 class NotCoveredError(Exception):
@@ -41,12 +41,15 @@
 
 
 class RequestAdmission:
-    """Decides whether the broker takes on a request; from then on it owes one final answer.
-
-    Attributes: registry: The open requests. retry_after_ms: What a rejected client is told to wait;
-        None where the settings allow no Retry-After. closes_at_s: The clock's time after which
-        nothing is admitted, since the process is about to end. memory_pressure: Whether memory is
-        so short that nothing is admitted.
+    """Decides whether the broker admits a request, which then gets exactly one final answer.
+
+    Attributes:
+        registry: The open requests.
+        retry_after_ms: Time after which a rejected client may retry; None where the settings allow
+            no Retry-After.
+        closes_at_s: The clock's time after which nothing is admitted, since the process is about to
+            end.
+        memory_pressure: Whether memory is so short that nothing is admitted.
     """
 
     __slots__ = (
@@ -82,10 +85,10 @@
         self.memory_pressure = False
 
     def admit(self, request: Request) -> None:
-        """Take a request and pass it to the decisions, or give it its final answer."""
+        """Admit a request and pass it to the decisions, or give it its final answer."""
         open_requests = self.registry.requests
         if request.request_id in open_requests:
-            # The decisions would take both for one request.
+            # The decisions identify a request by its id and can't tell the two apart.
             log.warning("request_id_already_open request=%s", request.request_id)
             self.registry.close(request, FinalOutcome.FAILED)
             request.response_sink.send_failure("this id is open already")
@@ -129,7 +132,7 @@
             self._abandon(request)
 
     def disconnect(self, request: Request) -> None:
-        """Close a request whose client has left: no answer is owed, and its attempt is given up."""
+        """Close a request whose client has disconnected, unanswered, and give up its attempt."""
         if self.registry.close(request):
             self._abandon(request)
 
--- a/umberusher/pipeline/contract_metrics.py
+++ b/umberusher/pipeline/contract_metrics.py
@@ -8,7 +8,7 @@
 from umberusher.admin.metrics import COUNTER, GAUGE, MetricFamily, Sample
 from umberusher.teams.admission import TeamAdmission
 
-# Teams with labels of their own; the others are summed up.
+# Teams beyond this number share one label, which bounds the number of series.
 MAX_LABELLED_TEAMS = 64
 OTHERS_LABEL = "others"
 
@@ -19,7 +19,7 @@
     ("retries", "right", "Further attempts, by right."),
     ("work_ms", None, "Milliseconds of one thread used."),
 )
-"""The counters: the name's ending, the label beside the team's, the help text."""
+"""The counters: the suffix of the name, the label beside the team's, the help text."""
 
 _Key = tuple[str, str]
 """A team's label, and the value of the other label."""
@@ -32,7 +32,7 @@
 
     Args:
         teams: The state of the teams.
-        unidentified: Calls that were of no team, by reason.
+        unidentified: Calls that belong to no team, by reason.
         now_ms: The time now.
     """
     counts: dict[str, Counter[_Key]] = {name: Counter() for name, _, _ in _COUNTERS}
--- a/umberusher/pipeline/contracts.py
+++ b/umberusher/pipeline/contracts.py
@@ -1,6 +1,6 @@
-"""Enforces the teams' contracts: identifies a call's team, admits it, and settles what it used.
+"""Enforces the teams' contracts: identifies a call's team, admits it, and charges what it used.
 
-Made only where a contract is named; a broker without one imports nothing of this.
+A broker without a contract doesn't import this module.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
 log = logging.getLogger(__name__)
 
-# Between two statements in the structured log.
+# Between two records of each team's usage in the structured log.
 STATEMENT_INTERVAL_MS = 10_000.0
 
-# Where the settings state none.
+# Applies where the settings state none.
 DEFAULT_RETRY_BUDGET = RetryBudgetTerms(floor=5.0, ratio=0.1, window_ms=10_000.0)
 
 
@@ -47,9 +47,9 @@
 
     Attributes:
         contract: The contract as it was read, with its holidays.
-        teams: The state of the teams, by the terms of today.
-        charges: The open requests' charges, by request.
-        unidentified: Calls that are of no team, by reason.
+        teams: The state of the teams, under the terms of today.
+        charges: The charges of open requests, by request.
+        unidentified: Calls that belong to no team, by reason.
     """
 
     __slots__ = (
@@ -78,11 +78,14 @@
     ) -> None:
         """Start with full budgets.
 
-        Args: contract: The contract. settings: The settings, for classes' threads, the retry budget
-            and the number of brokers. now_ms: Returns the time of the broker's timeline. unix_ms:
-            Returns the Unix time, for the day and for statements. load_contract: Reads the
-            contract's file again; raises ContractError. emit_event: Writes a structured event,
-            given its kind and its fields.
+        Args:
+            contract: The contract.
+            settings: The settings, for the classes' threads, the retry budget and the number of
+                brokers.
+            now_ms: Returns the time of the broker's timeline.
+            unix_ms: Returns the Unix time, for the day and for statements.
+            load_contract: Reads the contract's file again; raises ContractError.
+            emit_event: Writes a structured event, given its kind and its fields.
         """
         self.contract = contract
         self._now_ms = now_ms
@@ -109,14 +112,15 @@
 
     @staticmethod
     def origin(port: int) -> Origin:
-        """Return the origin of a connection that came to a port."""
+        """Return the origin of a connection that was accepted on a port."""
         return Origin(port)
 
     def admit(self, request: Request) -> Rejection | None:
         """Admit a request, or return its rejection.
 
-        Raises: NotCoveredError: The request is of no team, or of a class that its team's contract
-            does not have.
+        Raises:
+            NotCoveredError: The request belongs to no team, or to a class that its team's contract
+                does not have.
         """
         try:
             team = identify_team(
@@ -143,7 +147,7 @@
         return admitted
 
     def request_done(self, request: Request, succeeded: bool) -> None:
-        """Settle a request that is owed no answer and has no attempt in flight."""
+        """Charge a closed request, with no attempt in flight, for what it used."""
         charge = self.charges.pop(request.request_id, None)
         if charge is not None:
             used_ms = request.engine_thread_ms if request.may_have_run else None
@@ -152,12 +156,12 @@
     # -- Retries
 
     def may_retry(self, request_id: str) -> bool:
-        """Return whether the retry budget of the request's team has a retry."""
+        """Return whether the retry budget of the request's team allows a retry."""
         charge = self.charges.get(request_id)
         return charge is None or self.teams.may_retry(self._now_ms(), charge)
 
     def count_retry(self, request_id: str) -> None:
-        """Count a retry that is made."""
+        """Charge a retry to the team's retry budget."""
         charge = self.charges.get(request_id)
         if charge is not None:
             self.teams.count_retry(self._now_ms(), charge.team.name)
@@ -165,7 +169,7 @@
     # -- Time and new contracts
 
     def sweep(self) -> None:
-        """Apply the terms of a new day; emit the statements when they are due."""
+        """Apply the terms of a new day, and emit the statements when they are due."""
         today = self._today()
         if today != self._terms_day:
             self._terms_day = today
@@ -182,7 +186,7 @@
             emit_event("team", fields | usage.event_fields())
 
     def reload(self) -> None:
-        """Read the contract's file again; keep the contract of before where it can't be used."""
+        """Read the contract's file again; keep the present contract if the new one is invalid."""
         if self._load_contract is None:
             return
         try:
@@ -207,13 +211,13 @@
         return self._handover.export_state(self._now_ms())
 
     def export_later_counts(self) -> dict[str, Any]:
-        """Return what was counted since then, for a successor that accepts from now on."""
+        """Return the counts since the export, for a successor that accepts calls from now on."""
         return self._handover.export_later_counts()
 
     def restore_state(self, state: Mapping[str, Any]) -> None:
-        """Take either message of the process before.
+        """Restore the state, or add the later counts, that the predecessor sent.
 
-        What can't be read is ignored, and budgets start full.
+        A message that can't be read is ignored, and budgets then start full.
         """
         try:
             if "later" in state:
--- a/umberusher/pipeline/deadline_recorder.py
+++ b/umberusher/pipeline/deadline_recorder.py
@@ -1,4 +1,4 @@
-"""Accounts for the time of requests and attempts as they end."""
+"""Records in the account of deadlines how requests and attempts spent their time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DeadlineRecorder:
-    """Feeds the account of deadlines with requests and attempts.
+    """Records requests and attempts in the account of deadlines as they end.
 
     Attributes:
         account: The counters, and the structured events of requests that ended late.
@@ -37,18 +37,18 @@
         self.account = DeadlineAccount(now_ms)
 
     def request_closed(self, request: Request, outcome: FinalOutcome | None) -> None:
-        """Account for a request whose time is over: late, expired or abandoned by its client.
+        """Record the end of a request: late, expired or abandoned by its client.
 
         Args:
             request: The request, with its attempt where one is in flight.
-            outcome: Its final answer; None where its client left.
+            outcome: Its final answer; None where its client has disconnected.
         """
         objective_ms = self._latency_objective_ms(request)
         received_ms = request.budget.received_ms
         if outcome is FinalOutcome.SERVED and (
             objective_ms is None or self._now_ms() - received_ms <= objective_ms
         ):
-            return  # served in time, as most requests are: no more is computed for them
+            return  # most requests are served in time; the rest is not computed for them
         arrival = request.arrival
         attempt = request.attempt
         summary = RequestSummary(
@@ -72,7 +72,7 @@
         self.account.report_end(summary, end, phase, phase_times_ms)
 
     def _latency_objective_ms(self, request: Request) -> float | None:
-        """Return the time within which a request should be served; None for an unknown class."""
+        """Return the latency objective of a request; None for an unknown class."""
         arrival = request.arrival
         query_class = self._classes.get(arrival.query_class)
         if query_class is None:
@@ -81,7 +81,7 @@
         return query_class.latency_objective_ms + query_class.objective_stretch * work_ms_per_thread
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Keep the time of an attempt whose request goes on, and may yet end late."""
+        """Add up the time of an attempt whose request is still open, and may yet end late."""
         request = attempt.request
         if request.time_by_phase is None:
             request.time_by_phase = {}
@@ -94,7 +94,7 @@
             phase_times_ms[phase] = phase_times_ms.get(phase, 0.0) + phase_ms
 
     def work_wasted(self, attempt: Attempt, stopped: bool) -> None:
-        """Account for an engine's work for a client that has left.
+        """Record an engine's work for a client that has disconnected.
 
         Args:
             attempt: The attempt at the engine.
--- a/umberusher/pipeline/request.py
+++ b/umberusher/pipeline/request.py
@@ -1,4 +1,4 @@
-"""A request, its attempts, how far an attempt came, and what receives the final answer."""
+"""Requests and their attempts, the progress of an attempt, and the sink of the final answer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SendProgress(IntEnum):
-    """How far an attempt came, in order."""
+    """The progress of an attempt, in order."""
 
     NOT_CONNECTED = 0
     NOT_WRITTEN = 1
@@ -31,8 +31,8 @@
     """Why an attempt ended without a result.
 
     Attributes:
-        progress: How far it came.
-        reason: The reason, for the log.
+        progress: Its progress when it ended.
+        reason: The cause, for the log.
         page_count: Pages that had been received.
     """
 
@@ -42,7 +42,7 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether it can't have run: an engine runs nothing before it has the last byte."""
+        """Whether it can't have run: an engine runs no request before it has the last byte."""
         return self.progress < SendProgress.FULLY_SENT
 
 
@@ -59,7 +59,7 @@
         """Fail the request: it may have run."""
 
     def read_pending(self) -> None:
-        """Process input that has arrived from the client, which may have left or cancelled."""
+        """Process pending input of the client, which may have disconnected or cancelled."""
 
 
 class AttemptCarrier(Protocol):
@@ -72,7 +72,7 @@
     opened_ms: float
 
     def release(self, attempt: Attempt) -> bool:
-        """Let go of an attempt; return True where it had not begun and is withdrawn."""
+        """Detach an attempt; return True if it was withdrawn before its first byte."""
 
     def write(self, command: bytes) -> None:
         """Queue one command about an attempt."""
@@ -80,26 +80,27 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request that the broker has taken and owes one final answer for.
+    """A request that the broker has read and must give one final answer to.
 
     Attributes:
-        request_id: Its id, here since it is read a dozen times.
+        request_id: Its id, copied from the event because it is read often.
         arrival: The event that the decisions receive.
-        statement: What is sent to an engine.
+        statement: The statement that is sent to an engine.
         response_sink: Receives the final answer.
-        budget: Its time.
+        budget: Its time budget.
         non_idempotent: Whether it may run only once.
-        is_open: Whether the final answer is still owed.
+        is_open: Whether the final answer must still be sent.
         succeeded: Whether its final answer was its result.
         attempt_count: Attempts so far.
-        priority: Its priority at engines, where the decisions have named one.
-        attempt: The attempt that is in flight.
-        idempotency_key: By which engines drop duplicates, as the client sent it.
+        priority: Its priority at engines, if the decisions have set one.
+        attempt: The attempt in flight.
+        idempotency_key: The client's key, by which engines drop duplicates.
         claimed_team: The team that the call names.
-        origin: Where its connection came to.
+        origin: Where its connection was accepted.
         may_have_run: Whether an attempt may have run.
-        engine_thread_ms: Time at engines times threads.
-        time_by_phase: Time of attempts that brought no result, by phase; None before the first.
+        engine_thread_ms: Time at engines, multiplied by the threads of its class.
+        time_by_phase: Time of attempts that ended without a result, by phase; None before the
+            first.
     """
 
     request_id: str = field(init=False)
@@ -121,7 +122,7 @@
     time_by_phase: dict[str, float] | None = None
 
     def __post_init__(self) -> None:
-        """Take the id from the event."""
+        """Copy the id from the event."""
         self.request_id = self.arrival.request
 
 
@@ -137,22 +138,23 @@
         engine: The engine's id.
         started_ms: When the decisions started it.
         timeout_at_ms: When it times out.
-        progress: How far it has come.
+        progress: Its progress.
         ended: Whether its outcome was reported.
         pages: The pages of the result that have been received, by number.
-        response_fields: Fields of the replies; load and cost may come with any of them.
-        page_count: Pages of the result, once known.
+        response_fields: Fields of the replies; load and cost may be in any of them.
+        page_count: Pages of the result; 0 until the first page has arrived.
         received_bytes: Bytes of the pages received.
         encoded_ms: When it was encoded.
         fully_sent_ms: When its last byte was with the kernel.
-        network_delay_ms: The delay allowance that was taken off the engine's time.
-        receipt_ms: When its receipt came, where receipts are on.
-        first_page_ms: When its first page came.
-        last_page_ms: When its latest page came.
+        network_delay_ms: The delay allowance that was subtracted from the engine's time limit.
+        receipt_ms: When its receipt arrived, if receipts are enabled.
+        first_page_ms: When its first page arrived.
+        last_page_ms: When its latest page arrived.
         end_offset: The offset of its last byte in what its connection has written, once fully sent.
         carrier: Its connection.
         timer: Fires when it times out.
-        cancel_pending: Whether a cancel is in flight whose outcome the decisions are owed.
+        cancel_pending: Whether a cancel command is pending whose outcome will be reported to the
+            decisions.
     """
 
     request: Request
--- a/umberusher/pipeline/request_registry.py
+++ b/umberusher/pipeline/request_registry.py
@@ -1,6 +1,6 @@
 """The registry of open requests.
 
-It guards two rules: a request has one final answer, and an attempt has one ending; it counts both.
+It ensures that a request gets one final answer and that an attempt ends once, and counts both.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 
 class RequestObserver(Protocol):
-    """Is notified of each request that is owed no answer and has no attempt in flight."""
+    """Is notified of each closed request once it has no attempt in flight."""
 
     def request_done(self, request: Request, succeeded: bool) -> None:
-        """Settle a request; ``succeeded`` where its final answer was its result."""
+        """Settle a request; ``succeeded`` means that its final answer was its result."""
 
 
 def outcome_of(failure: AttemptFailure) -> AttemptOutcome:
-    """Return a failure as the decisions know it; what may have run is never called never-run."""
+    """Return the outcome of a failure; an attempt that may have run never counts as never run."""
     if failure.never_ran:
         return AttemptOutcome.NO_CONNECTION
     if failure.progress is SendProgress.FULLY_SENT:
@@ -47,11 +47,15 @@
 class RequestRegistry:
     """The open requests, and how all requests and attempts ended.
 
-    Attributes: requests: The requests by id, from admission until the decisions have been notified
-        of their end. final_answers: Final answers by outcome and class. attempt_outcomes: Ended
-        attempts by outcome. attempts_sent: Attempts that were sent completely. network_delays: The
-        network delay to each engine, as the attempts' connections measure it. account: The account
-        of requests that ended late or expired. now_ms: Returns the time of the broker's timeline.
+    Attributes:
+        requests: The requests by id, from admission until the decisions have been notified of their
+            end.
+        final_answers: Final answers by outcome and class.
+        attempt_outcomes: Ended attempts by outcome.
+        attempts_sent: Attempts that were sent completely.
+        network_delays: The network delay to each engine, as the attempts' connections measure it.
+        account: The account of requests that ended late or expired.
+        now_ms: Returns the time of the broker's timeline.
         post: Passes an event to the decisions.
     """
 
@@ -92,12 +96,12 @@
 
     @property
     def in_flight(self) -> int:
-        """The number of requests that are owed a final answer."""
+        """The number of requests that have no final answer yet."""
         return sum(request.is_open for request in self.requests.values())
 
     @property
     def outcome_counts(self) -> Counter[str]:
-        """Final answers and ended attempts by the words of the log."""
+        """Final answers and ended attempts, by the names used in the log."""
         counts: Counter[str] = Counter()
         for final_outcome, by_class in self.final_answers.items():
             if by_class:
@@ -109,16 +113,16 @@
     # -- Final answers
 
     def close(self, request: Request, outcome: FinalOutcome | None = None) -> bool:
-        """Close a request by its final answer, or because nobody waits for one any more.
+        """Close a request with its final answer, or because its client has disconnected.
 
         This is the only place that closes a request.
 
         Args:
             request: The request.
-            outcome: Its final answer, which is counted; None where its client has left.
+            outcome: Its final answer, which is counted; None where its client has disconnected.
 
         Returns:
-            Whether the request was open, so that the caller now has to answer.
+            Whether the request was open, so that the caller must now send the answer.
         """
         if not request.is_open:
             return False
@@ -148,15 +152,15 @@
             request.response_sink.send_failure("failed")
 
     def discard_closed(self, event: Event) -> None:
-        """Drop a request once the decisions have processed the event of its end."""
+        """Remove a request once the decisions have processed the event of its end."""
         if isinstance(event, AttemptEnded):
             if not event.request_closed:
                 return
         elif not isinstance(event, ClientDisconnected):
             return
         request = self.requests.get(event.request)
-        # An attempt may still be in flight: a STOP is out, and its outcome is owed to the
-        # decisions.
+        # An attempt may still be in flight: its cancel command is pending, and the outcome must
+        # still be reported to the decisions.
         if request is not None and not request.is_open and request.attempt is None:
             del self.requests[event.request]
 
@@ -175,7 +179,7 @@
             attempt: The attempt.
             outcome: How it ended.
             report: The engine's load report, where its reply carried one.
-            cost: What the query needed, where the reply reports it.
+            cost: Work and memory that the query used, where the reply reports them.
         """
         if attempt.ended:
             return
@@ -248,7 +252,7 @@
         self.end_attempt(attempt, AttemptOutcome.SUCCEEDED, report, cost)
 
     def record_wasted_work(self, attempt: Attempt, stopped: bool) -> None:
-        """Account for an engine's work for a client that has left.
+        """Account for an engine's work for a client that has disconnected.
 
         Args:
             attempt: The attempt at the engine.
--- a/umberusher/upstream/attempts.py
+++ b/umberusher/upstream/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at engines: start, change of priority, time-out and giving up."""
+"""Starts attempts at engines, changes their priority, times them out and gives them up."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from umberusher.upstream.outgoing_request import OutgoingRequest, read_client_input
 from umberusher.upstream.remaining_time import RemainingTime
 
-# What engines assume for a request that names no priority.
+# Engines assume this priority for a request that names none.
 DEFAULT_PRIORITY = 1
 _SENT = (SendProgress.PARTLY_WRITTEN, SendProgress.FULLY_SENT)
 
@@ -35,7 +35,7 @@
     """Starts attempts at engines and gives them up.
 
     Attributes:
-        given_up: Attempts that nobody wanted any more, by where their bytes were.
+        given_up: Count of attempts that were given up, by the location of their bytes.
     """
 
     __slots__ = ("_context", "_pool", "_remaining_time", "given_up")
@@ -49,12 +49,12 @@
         self.given_up: Counter[str] = Counter()
 
     def start(self, request: Request, engine: str, timeout_ms: float | None) -> None:
-        """Send a request to an engine, as the decisions asked.
+        """Send a request to the engine that the decisions have chosen.
 
         Args:
-            request: The request, which has no other attempt out.
+            request: The request, which has no other attempt in flight.
             engine: The engine's id.
-            timeout_ms: Time for this attempt; None or 0 where only the deadline bounds it.
+            timeout_ms: Time limit of this attempt; None or 0 where only the deadline limits it.
         """
         registry = self._context.registry
         now_ms = self._context.now_ms()
@@ -82,19 +82,19 @@
         connection.enqueue(attempt, message)
 
     def _connect(self, attempt: Attempt) -> EngineConnection | None:
-        """Return a connection for an attempt; end the attempt and return None without one."""
+        """Return a connection for an attempt; without one, end the attempt and return None."""
         request = attempt.request
         endpoint = self._context.endpoints.find(attempt.engine)
         if endpoint is None:
-            # The engine may have begun to drain after the decision: nothing new goes there.
-            self._fail_unconnected(attempt, "engine takes nothing new")
+            # The engine may have begun to drain after the decision: it gets no new requests then.
+            self._fail_unconnected(attempt, "engine accepts no new requests")
             return None
         try:
             return self._pool.acquire(endpoint, request.request_id, request.non_idempotent)
         except EngineUnreachableError as error:
             self._fail_unconnected(attempt, error.reason)
         except ConnectionLimitError:
-            # The engine must not be ejected because this broker lacks descriptors.
+            # The engine must not be ejected because this broker lacks file descriptors.
             self._context.registry.end_attempt(attempt, AttemptOutcome.OVERLOADED)
         return None
 
@@ -103,7 +103,7 @@
         self._context.registry.fail_attempt(attempt, failure)
 
     def set_priority(self, request: Request, priority: int) -> None:
-        """Set a request's priority for its next attempt, and at the engine that has it now."""
+        """Set a request's priority for later attempts, and at the engine that runs it now."""
         attempt = request.attempt
         current = DEFAULT_PRIORITY if request.priority is None else request.priority
         request.priority = priority
@@ -118,10 +118,11 @@
     def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Stop waiting for an attempt.
 
-        What is done about its bytes follows the table in ``deadlines.disposition``.
+        Whether it is withdrawn, cancelled, released or ended by closing its connection follows the
+        table in ``deadlines.disposition``.
 
         Args:
-            attempt: The attempt; nothing happens to one that has ended.
+            attempt: The attempt; the call has no effect on one that has ended.
             outcome: ``TIMED_OUT`` or ``CANCELLED``, for an attempt that may have run.
         """
         if attempt.ended:
@@ -146,7 +147,7 @@
         self._end_unsent(attempt)
 
     def _give_up_cancelled(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """End an attempt at its deadline whose cancel command is out already."""
+        """End an attempt at its deadline after its cancel command was written."""
         if outcome is not AttemptOutcome.TIMED_OUT:
             return
         if not attempt.request.is_open:
@@ -156,7 +157,7 @@
     def _end_unsent(self, attempt: Attempt) -> None:
         registry = self._context.registry
         if not attempt.request.is_open:
-            # As a failed connection the decisions would hold it against a healthy engine.
+            # A failed connection would count against an engine that is healthy.
             registry.end_attempt(attempt, AttemptOutcome.WITHDRAWN)
             return
         failure = AttemptFailure(SendProgress.NOT_WRITTEN, "given up before it was sent")
@@ -169,11 +170,11 @@
         outcome: AttemptOutcome,
         disposition: Disposition,
     ) -> None:
-        """Give up an attempt whose request has begun to go out."""
+        """Give up an attempt whose request is at least partly written."""
         registry = self._context.registry
         closes = disposition.action is SendAction.CLOSE_CONNECTION
         if closes and disposition.proof is ExecutionProof.NEVER_RAN:
-            # The close fails the attempt as partly written, which never ran.
+            # The close fails the attempt as partly written, and such an attempt never ran.
             connection.transport.abort("request given up while partly written")
             return
         connection.release(attempt)
@@ -186,7 +187,8 @@
             connection.release_result(attempt)
             registry.end_attempt(attempt, outcome)
             return
-        # The decisions hear what came of a cancel command. A deadline does not wait for that.
+        # The decisions are notified once the outcome of a cancel command is known. A deadline does
+        # not wait for that.
         allows_cancellation = self._context.settings.cancellation
         attempt.cancel_pending = allows_cancellation and outcome is AttemptOutcome.CANCELLED
         connection.cancel(attempt)
@@ -201,9 +203,9 @@
             record_abandoned_work(self._context.registry, attempt, stopped)
 
     def withdraw_queued(self, connection: EngineConnection) -> None:
-        """Withdraw the attempts of a connection whose request has not begun to go out."""
+        """Withdraw the attempts of a connection whose requests have not begun to be written."""
         for attempt in list(connection.attempts.values()):
             if attempt.progress >= SendProgress.PARTLY_WRITTEN or not connection.release(attempt):
                 continue
-            failure = AttemptFailure(attempt.progress, "engine takes nothing new")
+            failure = AttemptFailure(attempt.progress, "engine accepts no new requests")
             self._context.registry.fail_attempt(attempt, failure)
--- a/umberusher/upstream/cancellation.py
+++ b/umberusher/upstream/cancellation.py
@@ -1,7 +1,7 @@
-"""Cancel commands: what they leave unresolved on a connection, and what came of each.
+"""Tracks the cancel commands of each connection until their outcomes are known.
 
-Engines don't answer a cancel command but take a connection's lines in order, so the answer to a
-ping written behind it proves that it was taken.
+Engines don't answer a cancel command, but they process the commands of a connection in order: the
+answer to a ping that was written after it proves that the engine has read it.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 
     Args:
         registry: Holds the account.
-        attempt: What was cancelled.
-        stopped: Whether the engine has ended the work since.
+        attempt: The attempt that was cancelled.
+        stopped: Whether the engine has stopped the work.
     """
     if not attempt.request.is_open:
         registry.record_wasted_work(attempt, stopped)
 
 
 class CancellationOutcomes:
-    """Ends attempts according to what came of their cancel commands."""
+    """Ends attempts by the outcomes of their cancel commands."""
 
     __slots__ = ("_registry", "_results")
 
@@ -52,13 +52,13 @@
         outcome: CancelOutcome,
         reply: codec.Reply | None = None,
     ) -> None:
-        """End a cancelled attempt, or serve its result where the client still waits.
+        """End a cancelled attempt, or process its result where the client still waits.
 
         Args:
             channel: The connection that carried the attempt.
             cancel: The command whose outcome is known.
-            outcome: What came of it.
-            reply: The late reply that told, where one did.
+            outcome: The outcome.
+            reply: The late reply that showed the outcome, if any.
         """
         attempt = cancel.owner
         self._registry.account.cancel_outcomes[outcome.name] += 1
@@ -80,7 +80,7 @@
 
     @staticmethod
     def _is_wanted(attempt: Attempt) -> bool:
-        """Return whether the client waits and nothing else has ended the attempt."""
+        """Return whether the client still waits and the attempt has not ended."""
         return attempt.cancel_pending and not attempt.ended and attempt.request.is_open
 
     @staticmethod
@@ -96,7 +96,7 @@
 
 
 class ConfirmationPing:
-    """The ping that is out behind cancel commands."""
+    """A pending ping that was written after cancel commands."""
 
     __slots__ = ("sent_ms", "tag")
 
@@ -109,8 +109,8 @@
     """The cancel commands of one connection.
 
     Attributes:
-        unresolved_since_ms: When the first command was written of those that the engine may not
-            have read; None where it has read all.
+        unresolved_since_ms: When the oldest command was written that the engine may not have read;
+            None where it has read all of them.
     """
 
     __slots__ = (
@@ -133,7 +133,7 @@
         self.unresolved_since_ms: float | None = None
 
     def add(self, attempt: Attempt) -> None:
-        """Follow a cancel command that was just written, until its outcome is known."""
+        """Track a cancel command that was just written until its outcome is known."""
         now_ms = self._context.now_ms()
         if self.unresolved_since_ms is None:
             self.unresolved_since_ms = now_ms
@@ -154,9 +154,9 @@
         self._channel.write(codec.ping(tag))
 
     def confirm(self, tag: str) -> bool:
-        """Take the answer to the ping; return whether it was that.
+        """Process the answer to the pending ping; return False where the tag is another.
 
-        No late reply to a request can come any more that was cancelled before the ping.
+        After it no late reply can arrive to a request that was cancelled before the ping.
         """
         confirmation = self._confirmation
         if confirmation is None or confirmation.tag != tag:
@@ -172,7 +172,7 @@
         return True
 
     def mark_read_until(self, sent_ms: float) -> None:
-        """Note that the engine has read what was written before this time."""
+        """Record that the engine has read everything that was written before this time."""
         if self.unresolved_since_ms is not None and sent_ms >= self.unresolved_since_ms:
             self.unresolved_since_ms = None
 
@@ -196,6 +196,6 @@
             self._outcomes.settle(self._channel, cancel, CancelOutcome.UNKNOWN)
 
     def on_closed(self) -> None:
-        """Settle what is pending: the connection has closed and tells nothing any more."""
+        """Settle all pending commands as unknown: a closed connection brings no more replies."""
         for cancel in self._pending.pop_all():
             self._outcomes.settle(self._channel, cancel, CancelOutcome.UNKNOWN)
--- a/umberusher/upstream/channel.py
+++ b/umberusher/upstream/channel.py
@@ -11,12 +11,12 @@
 
 
 class EngineChannel(Protocol):
-    """One connection to an engine, for the parts that track what was written on it.
+    """One connection to an engine, as seen by the classes that track what was written on it.
 
     Attributes:
         engine: The engine's id.
         transport: The socket, with its buffers.
-        abandoned_ids: Requests that were given up here and of which late replies may still come.
+        abandoned_ids: Requests that were given up here; late replies to them may still arrive.
         delay: Round trips of this connection.
     """
 
@@ -29,29 +29,29 @@
         """Queue one command."""
 
     def record_round_trip(self, sent_ms: float) -> None:
-        """Note that the answer to a line written at ``sent_ms`` has just arrived."""
+        """Record that the answer to a command written at ``sent_ms`` has just arrived."""
 
     def has_no_other_non_idempotent(self, attempt: Attempt | None) -> bool:
         """Return whether a close ends no non-idempotent attempt but this one."""
 
     def release(self, attempt: Attempt) -> bool:
-        """Let go of an attempt; return whether its request had not begun and was withdrawn."""
+        """Detach an attempt; return whether its request was withdrawn before its first byte."""
 
     def ignore_replies(self, request_id: str) -> None:
-        """Drop further replies to a request, and don't send it here again."""
+        """Drop further replies to a request, and don't send it on this connection again."""
 
     def resume(self, attempt: Attempt) -> None:
-        """Accept replies to an attempt again that had been given up."""
+        """Accept replies again to an attempt that was given up."""
 
     def request_receipt(self, attempt: Attempt) -> None:
-        """Ask for the proof that the engine has read an attempt's request."""
+        """Request proof that the engine has read an attempt's request."""
 
 
 class HealthCheckHandler(Protocol):
-    """A health check that is out on a connection."""
+    """A pending health check on a connection."""
 
     def end_with_reply(self, reply: codec.Reply) -> None:
-        """Take the engine's answer."""
+        """End the health check with the engine's answer."""
 
     def end_by_disconnect(self) -> None:
-        """Take the end of the connection."""
+        """End the health check because its connection has closed."""
--- a/umberusher/upstream/connection_pool.py
+++ b/umberusher/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to all engines: which one a request takes, how many there may be, which close."""
+"""Pool of the connections to all engines: chooses, opens, limits and closes them."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from umberusher.upstream.result_collector import ResultCollector
 from umberusher.upstream.stall_detection import StallDetector
 
-# The largest reply: a line, a body and the end of it.
+# Holds the largest reply: a line, a body and the line end after it.
 INBOUND_BUFFER_BYTES = codec.MAX_LINE_BYTES + codec.MAX_BODY_BYTES + 2
-# The largest statement, with its line.
+# Holds the largest statement, with its line.
 OUTBOUND_BUFFER_BYTES = (1 << 20) + codec.MAX_LINE_BYTES
-# Connections that a process may have though others of its broker hold all the rest.
+# A process may open this many though other processes of its broker hold all that are allowed.
 MIN_CONNECTIONS = 8
 
 
 class EngineUnreachableError(Exception):
-    """A connection to an engine could not even begin."""
+    """A connection to an engine could not be started."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -29,7 +29,7 @@
 
 
 class ConnectionLimitError(Exception):
-    """No descriptor is left for a further connection to an engine."""
+    """No file descriptor is left for a further connection to an engine."""
 
 
 class ConnectionPool:
@@ -38,7 +38,7 @@
     Attributes:
         by_engine: The connections of each engine that has any.
         max_connections: Connections to all engines together, over all processes of the broker.
-        open_elsewhere: Those that other processes of this broker have open.
+        open_elsewhere: Connections to engines that other processes of this broker have open.
     """
 
     __slots__ = (
@@ -72,8 +72,8 @@
     ) -> EngineConnection:
         """Return an open connection with capacity, else one that is connecting, else a new one.
 
-        A connection that its engine has closed is not written to: what the kernel still takes
-        would possibly have run.
+        A connection that its engine has closed is not written to: the kernel may still accept a
+        request, which would then have to count as possibly run.
 
         Args:
             endpoint: The engine.
@@ -81,8 +81,8 @@
             non_idempotent: Whether the request may run only once; None for a health check.
 
         Raises:
-            EngineUnreachableError: A new connection could not begin.
-            ConnectionLimitError: There is no descriptor for a new connection.
+            EngineUnreachableError: A new connection could not be started.
+            ConnectionLimitError: There is no file descriptor for a new connection.
         """
         now_ms = self._context.now_ms()
         while True:
@@ -105,7 +105,8 @@
     def _choose(candidates: list[EngineConnection], is_health_check: bool) -> EngineConnection:
         """Prefer open connections, then those with the fewest attempts.
 
-        A health check goes first where a cancelled request may lie unread: its answer tells.
+        A health check prefers a connection on which the engine may not have read a cancelled
+        request: the answer shows that it has.
         """
         return min(
             candidates,
@@ -135,7 +136,7 @@
         return engine_connection
 
     def _remove(self, closed: EngineConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a connection that has closed."""
         connections = self.by_engine.get(closed.engine, [])
         if closed in connections:
             connections.remove(closed)
@@ -143,14 +144,14 @@
                 del self.by_engine[closed.engine]
 
     def connections_to(self, engine: str) -> list[EngineConnection]:
-        """Return the connections of one engine, as a list that stays as it is."""
+        """Return a copy of the list of the connections to one engine."""
         return list(self.by_engine.get(engine, ()))
 
     def _all_connections(self) -> list[EngineConnection]:
         return [each for connections in self.by_engine.values() for each in connections]
 
     def _close_one_idle(self) -> bool:
-        """Close one idle connection, to make room for another; return whether there was one."""
+        """Close one idle connection so that another can open; return whether there was one."""
         return any(each.close_if_idle() for each in self._all_connections())
 
     def close_idle(self) -> None:
@@ -161,7 +162,7 @@
                 each.close_if_idle()
 
     def silent_connections(self, engine: str, silent_since_ms: float) -> list[EngineConnection]:
-        """Return the unresponsive connections of an engine that have received nothing since."""
+        """Return an engine's unresponsive connections that have received nothing since then."""
         return [
             each
             for each in self.by_engine.get(engine, ())
@@ -169,7 +170,7 @@
         ]
 
     def sweep(self) -> None:
-        """Close what idles or has stalled, and what has carried all that it may."""
+        """Close idle and stalled connections, and idle ones that accept no new requests."""
         self.close_idle()
         now_ms = self._context.now_ms()
         for each in self._all_connections():
--- a/umberusher/upstream/context.py
+++ b/umberusher/upstream/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the upstream side share: settings, loop, clock, registries and tags."""
+"""Objects that all classes of the upstream side share: settings, loop, clock, registries, tags."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 
     Attributes:
         max_attempts_per_connection: Attempts that one connection may carry at a time.
-        connect_timeout_ms: Time for a connection to come up.
+        connect_timeout_ms: Time within which a connection must be established.
         keepalive_ms: Time after which engines close an idle connection.
         max_connections: Connections to all engines, over all processes of the broker.
-        cancellation: Engines heed the cancel command for queries that run.
-        receipts: A ping follows each request; its answer proves that the engine has read both.
-        health_checks: Engines may be sent lines other than those about queries.
+        cancellation: Engines stop running queries on a cancel command.
+        receipts: A ping is written after each request; its answer proves that the engine has read
+            both.
+        health_checks: Engines accept commands that are not about a query: health checks and pings.
     """
 
     max_attempts_per_connection: int
@@ -35,15 +36,15 @@
 
 
 class UpstreamContext:
-    """Collaborators of every part of the upstream side.
+    """Collaborators of all classes of the upstream side.
 
     Attributes:
         settings: Limits and permissions.
         loop: Runs the timers and the connections.
         now_ms: The clock of the broker's timeline.
-        endpoints: The engines, and whether something new may go to them.
-        registry: Where attempts end.
-        network_delays: Learned from all round trips that held no work.
+        endpoints: The engines, and whether they accept new requests.
+        registry: The open requests; attempts are ended there.
+        network_delays: Estimated from all round trips that included no query work.
         tags: Numbers that make the names of pings and health checks unique.
     """
 
--- a/umberusher/upstream/engine_connection.py
+++ b/umberusher/upstream/engine_connection.py
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-# An engine may close a connection that is this near to its keep-alive time: it is not used again.
+# A connection is not reused this close to its keep-alive time, when the engine may be closing it.
 IDLE_MARGIN_MS = 1_000.0
-# Ids that are remembered on one connection; beyond that it takes nothing new.
+# A connection that remembers this many abandoned requests accepts no new ones.
 MAX_ABANDONED_IDS = 256
-# After which an unanswered ping means that requests may lie unread at the engine.
+# A ping unanswered for this long means that the engine may have stopped reading requests.
 MAX_PING_SILENCE_MS = 250.0
 
 
@@ -34,19 +34,20 @@
         engine: The engine's id.
         transport: The socket, with its buffers.
         attempts: The attempts that it carries, by request.
-        messages: Their requests; those that have not begun can be withdrawn.
-        health_checks: Health checks that are out, by tag.
-        abandoned_ids: Requests that were given up here; late replies of theirs may still come.
+        messages: Their requests; one can be withdrawn until its first byte is written.
+        health_checks: Pending health checks, by tag.
+        abandoned_ids: Requests that were given up here; late replies to them may still arrive.
         last_used_ms: When something was last written or read.
         last_received_ms: When something was last read.
-        opened_ms: When it came up; 0 before.
-        partial_reply_since_ms: When the first part of a reply arrived whose rest is missing.
-        superseded: Belongs to an earlier incarnation or address of the engine: it ends what it
-            carries and takes nothing new.
-        unresponsive: A health check brought nothing, and nothing else has come since.
+        opened_ms: When it was established; 0 before.
+        partial_reply_since_ms: When the first part of an incomplete reply arrived; None if none is
+            pending.
+        superseded: Belongs to an earlier incarnation or address of the engine: it finishes its
+            attempts and accepts no new ones.
+        unresponsive: A health check timed out, and no data has arrived since it was sent.
         cancellations: The cancel commands written on it.
-        receipts: The receipts that are outstanding.
-        delay: Its round trips.
+        receipts: The outstanding receipts.
+        delay: Its round-trip times.
     """
 
     __slots__ = (
@@ -119,7 +120,8 @@
             now_ms: The time.
             non_idempotent: Whether the request may run only once; None for a health check.
         """
-        # Idempotent requests need closes that non-idempotent ones must be spared.
+        # Idempotent requests may be ended by closing the connection, which would fail
+        # non-idempotent ones that share it.
         if (
             self.attempts
             and non_idempotent is not None
@@ -152,23 +154,23 @@
         self.transport.send(message)
 
     def release(self, attempt: Attempt) -> bool:
-        """Let go of an attempt; return whether its request had not begun and was withdrawn."""
+        """Detach an attempt; return whether its request was withdrawn before its first byte."""
         request_id = attempt.request.request_id
         if self.attempts.get(request_id) is not attempt:
             return False
         del self.attempts[request_id]
-        # An attempt that was resumed after its cancel command has no message any more.
+        # An attempt that was resumed after its cancel command has no message left.
         message = self.messages.pop(request_id, None)
         return message is not None and self.transport.withdraw(message)
 
     def resume(self, attempt: Attempt) -> None:
-        """Accept replies to an attempt again that had been given up."""
+        """Accept replies again to an attempt that was given up."""
         request_id = attempt.request.request_id
         self.abandoned_ids.discard(request_id)
         self.attempts[request_id] = attempt
 
     def cancel(self, attempt: Attempt) -> None:
-        """Write the cancel command, once, and follow what comes of it."""
+        """Write the cancel command once, and track its outcome."""
         request_id = attempt.request.request_id
         self.abandoned_ids.add(request_id)
         self.write(codec.cancel(request_id))
@@ -176,20 +178,20 @@
         self.cancellations.add(attempt)
 
     def release_result(self, attempt: Attempt) -> None:
-        """Have the engine free the pages of a result that nobody wants."""
+        """Have the engine free the pages of a result that is no longer needed."""
         request_id = attempt.request.request_id
         self.abandoned_ids.add(request_id)
         self.write(codec.release_result(request_id))
 
     def ignore_replies(self, request_id: str) -> None:
-        """Drop further replies to a request, and don't send it here again.
+        """Drop further replies to a request, and don't send it on this connection again.
 
-        A second reply to this attempt must not be taken for one to the next.
+        A second reply to this attempt must not be mistaken for a reply to the next attempt.
         """
         self.abandoned_ids.add(request_id)
 
     def request_receipt(self, attempt: Attempt) -> None:
-        """Ask for the proof that the engine has read an attempt's request."""
+        """Request proof that the engine has read an attempt's request."""
         self.receipts.request(attempt)
 
     def byte_location(self, attempt: Attempt) -> ByteLocation:
@@ -213,11 +215,11 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Return whether it takes nothing new because of what was given up on it."""
+        """Return whether it accepts no new requests because too many were given up on it."""
         return len(self.abandoned_ids) >= MAX_ABANDONED_IDS
 
     def is_expiring(self, now_ms: float) -> bool:
-        """Return whether the engine may be closing it as idle: what is written could be lost."""
+        """Return whether the engine may be closing it as idle, so that a request could be lost."""
         keepalive_ms = self._context.settings.keepalive_ms
         return (
             not self.attempts
@@ -232,7 +234,10 @@
         )
 
     def can_close_as_unread(self, attempt: Attempt | None = None) -> bool:
-        """Return whether the engine may have stopped reading and a close harms only ``attempt``."""
+        """Return whether the engine may have stopped reading and the connection can be closed.
+
+        It can be closed where the close ends no non-idempotent attempt other than ``attempt``.
+        """
         pending_since_ms = self.delay.pending_since_ms
         if pending_since_ms is None or self.last_received_ms >= pending_since_ms:
             return False
@@ -241,7 +246,7 @@
         return self.has_no_other_non_idempotent(attempt)
 
     def record_round_trip(self, sent_ms: float) -> None:
-        """Note that the answer to a line written at ``sent_ms`` has just arrived."""
+        """Record that the answer to a command written at ``sent_ms`` has just arrived."""
         now_ms = self._context.now_ms()
         round_trip_ms = now_ms - sent_ms
         self._context.network_delays.observe(self.engine, now_ms, round_trip_ms)
@@ -249,16 +254,16 @@
         self.cancellations.mark_read_until(sent_ms)
 
     def close_if_idle(self) -> bool:
-        """Close the connection if it carries nothing; return whether it does."""
+        """Close the connection if it carries nothing; return whether it was closed."""
         if self.attempts or self.health_checks:
             return False
         self.transport.close("idle")
         return True
 
-    # -- Hooks of the connection
+    # -- Callbacks of the transport
 
     def _before_open(self) -> None:
-        """Read the clients' input before the first byte goes out: some may have disconnected."""
+        """Read the clients' input before the first byte is written: some may have disconnected."""
         for attempt in list(self.attempts.values()):
             read_client_input(self._context, attempt.request)
 
@@ -272,7 +277,7 @@
         self.transport.close("connect: timed out")
 
     def _process_input(self) -> None:
-        """Process all replies that have arrived complete."""
+        """Process all replies that have arrived completely."""
         now_ms = self._context.now_ms()
         self.last_used_ms = now_ms
         self.last_received_ms = now_ms
--- a/umberusher/upstream/health_checks.py
+++ b/umberusher/upstream/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: engines are asked for their load, and silent connections are found."""
+"""Health checks: poll engines for their load, and find silent connections."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 
 log = logging.getLogger(__name__)
 
-# An engine answers at once; what has brought nothing by then brings nothing.
+# Engines answer at once: no answer is expected after this time.
 HEALTH_CHECK_TIMEOUT_MS = 500.0
-# Silence of an unresponsive connection; engines that work report on each query every second.
+# An unresponsive connection is closed after this silence; engines that work report on each query
+# every second.
 MAX_SILENCE_MS = 2_500.0
 
 
 class PendingHealthCheck:
-    """A health check that is out on a connection.
+    """A pending health check on a connection.
 
     Attributes:
         connection: The connection.
@@ -48,23 +49,26 @@
         self._timer = context.loop.call_later(HEALTH_CHECK_TIMEOUT_MS, self.end_by_timeout)
 
     def end_with_reply(self, reply: codec.Reply) -> None:
-        """Take the engine's answer."""
+        """End the health check with the engine's answer."""
         if self._close():
             self._owner.process_reply(self, reply)
 
     def end_by_timeout(self) -> None:
-        """Give up waiting: the connection is unresponsive unless something else has come."""
+        """Give up waiting: the connection is unresponsive unless other data has arrived."""
         if self._close():
             self.connection.unresponsive = self.connection.last_received_ms <= self.started_ms
             self._owner.report(self, AttemptOutcome.TIMED_OUT)
 
     def end_by_disconnect(self) -> None:
-        """Take the end of the connection, which says nothing of whether the engine is silent."""
+        """End the health check because its connection has closed.
+
+        This does not show that the engine is silent.
+        """
         if self._close():
             self._owner.report(self, AttemptOutcome.RESET)
 
     def _close(self) -> bool:
-        """Take the health check off its connection; return whether it was still out."""
+        """Remove the health check from its connection; return whether it was still pending."""
         if self.connection.health_checks.pop(self._tag, None) is None:
             return False
         self._timer.cancel()
@@ -84,7 +88,7 @@
         self._post = post
 
     def start(self, engine: str) -> None:
-        """Ask an engine for its load."""
+        """Request an engine's load."""
         connection = self._connection(engine)
         if connection is None:
             self._post(HealthCheckEnded(engine, AttemptOutcome.NO_CONNECTION, 0.0))
@@ -105,7 +109,7 @@
             return None
 
     def process_reply(self, check: PendingHealthCheck, reply: codec.Reply) -> None:
-        """Learn the network delay from an answer, and report the engine's load."""
+        """Record the round trip of an answer, and report the engine's load."""
         check.connection.record_round_trip(check.started_ms)
         outcome = AttemptOutcome.ERROR
         if reply.kind is ReplyKind.HEALTHY:
@@ -114,10 +118,10 @@
         self.report(check, outcome, codec.report(reply.fields))
 
     def _close_silent_connections(self, engine: str) -> None:
-        """Close connections that bring nothing while their engine answers on another.
+        """Close connections that receive nothing while their engine answers on another.
 
-        What is out on them would wait in vain. An engine that is silent on all of its connections
-        may recover.
+        Requests on them would get no reply. An engine that is silent on all of its connections may
+        recover, so those stay open.
         """
         silent_since_ms = self._context.now_ms() - MAX_SILENCE_MS
         for silent in self._pool.silent_connections(engine, silent_since_ms):
--- a/umberusher/upstream/outgoing_request.py
+++ b/umberusher/upstream/outgoing_request.py
@@ -1,4 +1,4 @@
-"""An attempt as a message that is encoded only when its turn to be written has come."""
+"""An attempt's request as an outbound message, encoded only when it is about to be written."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from umberusher.upstream.context import UpstreamContext
 from umberusher.upstream.remaining_time import RemainingTime
 
-# A client may have disconnected since its request was read if that is longer ago. Work for a
-# client that left 100 ms ago must not be started.
+# The client's input is read again where its request was received longer ago than this. Work must
+# not be started for a client that disconnected 100 ms ago.
 MAX_INPUT_AGE_MS = 20.0
 
 
 def read_client_input(context: UpstreamContext, request: Request) -> None:
-    """Process what the client of a request that has waited has sent, before it is forwarded.
+    """Process pending input of the client before its request, which has waited, is forwarded.
 
-    The client may have cancelled or disconnected, with the news still in the kernel's buffer
-    while a long turn of the loop runs; an engine should do no work for it.
+    During a long iteration of the event loop a cancellation or disconnect may still be in the
+    kernel's buffer; an engine should do no work for such a client.
     """
     if context.now_ms() - request.budget.received_ms > MAX_INPUT_AGE_MS:
         request.response_sink.read_pending()
 
 
 class OutgoingRequest:
-    """An attempt's request in the outbox of its engine connection."""
+    """An attempt's request in the outbound queue of its engine connection."""
 
     __slots__ = ("_attempt", "_channel", "_context", "_remaining_time")
 
@@ -42,10 +42,10 @@
         self._remaining_time = remaining_time
 
     def encode(self) -> bytes:
-        """Return the request with the time that is left for the engine; empty where none is.
+        """Return the encoded request with the engine's time limit; empty where no time is left.
 
-        A process that was stopped finds its queue expired before its timers had their turn.
-        Nothing may begin after the client's deadline.
+        After the process was suspended, queued requests may have expired before their timers fire.
+        No request may start after its client's deadline.
         """
         attempt = self._attempt
         if attempt.ended:
@@ -67,13 +67,13 @@
         )
 
     def _expire_later(self, reason: BudgetExhausted) -> None:
-        """End the attempt in the loop's next turn: the connection is in the midst of writing."""
+        """End the attempt in the next iteration of the loop: the connection is writing now."""
         self._context.loop.call_later(
             0.0, lambda: self._remaining_time.end_expired(self._attempt, reason)
         )
 
     def written(self) -> None:
-        """Note that the kernel has the last byte: from now on the engine may run the query."""
+        """Record that the kernel has the last byte: from now on the engine may run the query."""
         attempt = self._attempt
         attempt.progress = max(attempt.progress, SendProgress.FULLY_SENT)
         attempt.end_offset = self._channel.transport.sent_bytes
--- a/umberusher/upstream/receipts.py
+++ b/umberusher/upstream/receipts.py
@@ -1,4 +1,4 @@
-"""Receipts: proof that an engine has read a request, by the answer to a ping written behind it."""
+"""Receipts: the answer to a ping written after a request proves that the engine has read both."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from umberusher.upstream.channel import EngineChannel
 from umberusher.upstream.context import UpstreamContext
 
-# Beyond the network delay that was allowed for: timers and the engine's own loop take some time.
+# Added to the network delay allowance, for timers and the engine's event loop.
 RECEIPT_TOLERANCE_MS = 3.0
-# After the tolerance; the timer must not fire in the millisecond in which it ends.
+# The timer must not fire in the millisecond in which the tolerance ends.
 RECEIPT_CHECK_MARGIN_MS = 1.0
-# Bounds memory where an engine answers requests and no pings.
+# Limits memory where an engine answers requests but no pings.
 MAX_PENDING_RECEIPTS = 256
 
 
 class ReceiptTracker:
-    """The receipts that are outstanding on one connection.
+    """The outstanding receipts of one connection.
 
     Attributes:
-        pending: Attempts whose receipt has not arrived, by the tag of the ping behind them.
+        pending: Attempts whose receipt has not arrived, by the tag of the ping written after them.
     """
 
     __slots__ = ("_channel", "_context", "pending")
@@ -31,7 +31,7 @@
         self.pending: dict[str, Attempt] = {}
 
     def request(self, attempt: Attempt) -> None:
-        """Write a ping behind a request that is fully sent."""
+        """Write a ping after a request that is fully sent."""
         tag = f"r{next(self._context.tags)}"
         self.pending[tag] = attempt
         if len(self.pending) > MAX_PENDING_RECEIPTS:
@@ -41,7 +41,7 @@
         self._channel.write(codec.ping(tag))
 
     def confirm(self, tag: str) -> bool:
-        """Take the answer to a ping; return whether it was one of these."""
+        """Record the answer to a ping; return whether the ping was one of these."""
         attempt = self.pending.pop(tag, None)
         if attempt is None:
             return False
@@ -52,7 +52,8 @@
     def check_after_cancel(self, attempt: Attempt) -> None:
         """Close the connection once the receipt of a cancelled request is overdue.
 
-        The request lies unread then, with its cancel command behind it, and would begin late.
+        The engine has then read neither the request nor its cancel command, and the query would
+        start late.
         """
         if not self._context.settings.receipts or attempt.receipt_ms:
             return
@@ -65,11 +66,12 @@
             transport.abort("cancelled request is unread")
 
     def is_overdue(self, attempt: Attempt) -> bool:
-        """Return whether the engine may hold a request for too long, and a close harms only it.
+        """Return whether a request was read too late and its connection can be closed.
 
-        An engine counts a request's time from its own receipt. Where that came later than the
-        network delay that was subtracted, the query may begin after its deadline, and a cancel
-        command waits in the same stream of bytes.
+        An engine counts a request's time limit from when it reads the request. Where that was later
+        than the network delay that was subtracted, the query may start after its deadline, and a
+        cancel command would wait in the same byte stream. The connection can be closed where the
+        close ends no other non-idempotent attempt.
         """
         if not self._context.settings.receipts or attempt.page_count:
             return False
--- a/umberusher/upstream/remaining_time.py
+++ b/umberusher/upstream/remaining_time.py
@@ -1,4 +1,4 @@
-"""The time that an engine may spend on an attempt, and the end of attempts that have none left."""
+"""Computes the time limit of an attempt for its engine, and ends attempts without time left."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class RemainingTime:
-    """Sets the time limit that goes out with an attempt.
+    """Computes the time limit that is sent with an attempt.
 
     Attributes:
-        expired: Attempts that were not sent because too little time was left, by reason.
+        expired: Count of attempts that were not sent because too little time was left, by reason.
     """
 
     __slots__ = ("_context", "expired")
@@ -29,7 +29,7 @@
         self.expired: Counter[str] = Counter()
 
     def engine_ttl_ms(self, attempt: Attempt, channel: EngineChannel) -> int | BudgetExhausted:
-        """Return the time limit for the engine if the attempt went out now, in milliseconds."""
+        """Return the engine's time limit in milliseconds for an attempt that is sent now."""
         now_ms = self._context.now_ms()
         delay_ms = max(
             self._context.network_delays.allowance_ms(channel.engine),
@@ -39,13 +39,13 @@
         ttl_ms = attempt.request.budget.engine_ttl_ms(now_ms, delay_ms)
         if isinstance(ttl_ms, BudgetExhausted):
             return ttl_ms
-        # An attempt may time out before its request does; nothing may begin after its client's
-        # deadline, so the shorter of both goes out.
+        # An attempt may time out before its request does, and no query may start after either:
+        # the shorter limit is sent.
         attempt_ms = int(attempt.timeout_at_ms - now_ms)
         return max(min(ttl_ms, attempt_ms), MIN_ENGINE_TTL_MS)
 
     def end_expired(self, attempt: Attempt, reason: BudgetExhausted) -> None:
-        """End an attempt whose time is over before it is sent: it never ran, no engine failed."""
+        """End an attempt that expired before it was sent: it never ran, and no engine failed."""
         if attempt.ended:
             return
         log.info(
--- a/umberusher/upstream/result_collector.py
+++ b/umberusher/upstream/result_collector.py
@@ -17,9 +17,10 @@
 
 log = logging.getLogger(__name__)
 
-# The largest result of the engines; what claims more is malformed.
+# The largest result that engines return; a larger one is malformed.
 MAX_RESULT_BYTES = 48_000
-# A page of complete rows is seldom far under 6,000 bytes, so the largest result has far fewer.
+# A page of complete rows is seldom much smaller than 6,000 bytes, so the largest result has far
+# fewer pages.
 MAX_PAGES = 64
 
 
@@ -45,12 +46,12 @@
         }
 
     def process_reply(self, channel: EngineChannel, attempt: Attempt, reply: codec.Reply) -> None:
-        """Process one reply to an attempt that is out.
+        """Process one reply to an attempt in flight.
 
         Args:
             channel: The connection that carries the attempt.
             attempt: The attempt.
-            reply: What the engine has sent.
+            reply: The reply.
         """
         if attempt.page_count:
             handler = self._handlers_within_result.get(reply.kind)
@@ -79,15 +80,16 @@
         self._registry.end_attempt(attempt, AttemptOutcome.OVERLOADED, codec.report(reply.fields))
 
     def _end_expired(self, _: EngineChannel, attempt: Attempt, reply: codec.Reply) -> None:
-        """End an attempt whose time was over at the engine, which ran nothing.
+        """End an attempt whose time limit had passed at the engine, which ran nothing.
 
-        Withdrawn, not overloaded: the engine must not be avoided as full for a client that has
-        disconnected, and the retry budget is kept from retries that bring the same reply.
+        The outcome is withdrawn, not overloaded: the engine must not be avoided as full because of
+        a client that has disconnected, and retries that get the same reply must not use up the
+        retry budget.
         """
         self._registry.end_attempt(attempt, AttemptOutcome.WITHDRAWN, codec.report(reply.fields))
 
     def _fail(self, channel: EngineChannel, attempt: Attempt, reply: codec.Reply) -> None:
-        """Fail an attempt that may have run; pages that have arrived are of no use."""
+        """Fail an attempt that may have run; pages that have arrived are dropped."""
         request_id = attempt.request.request_id
         progress = SendProgress.RESPONSE_STARTED
         if attempt.pages:
@@ -104,7 +106,7 @@
         channel.transport.close(f"malformed result: {reason}")
 
     def _start_result(self, channel: EngineChannel, attempt: Attempt, reply: codec.Reply) -> None:
-        """Take the first page, and ask for the others where the client still waits."""
+        """Store the first page, and request the others if the client still waits."""
         page_count = codec.page_count(reply.fields)
         if not 0 < page_count <= MAX_PAGES:
             self._close_malformed(channel, attempt, "page count out of range")
@@ -117,7 +119,7 @@
         if not attempt.request.is_open:
             self._finish(channel, attempt)
             return
-        # All at once: one by one each page would cost a round trip.
+        # All pages are requested at once, since each would cost a round trip one by one.
         for number in range(1, page_count):
             channel.write(codec.fetch_page(attempt.request.request_id, number))
 
@@ -135,7 +137,7 @@
         self, channel: EngineChannel, attempt: Attempt, number: int, reply: codec.Reply
     ) -> None:
         is_first = number == 0
-        # Only a first page may be empty: it is an empty result.
+        # Only the first page may be empty: the result is empty then.
         if not codec.has_complete_rows(reply.body) or not (is_first or reply.body):
             self._close_malformed(channel, attempt, f"page {number} has incomplete rows")
             return
@@ -151,11 +153,11 @@
             self._finish(channel, attempt)
 
     def _finish(self, channel: EngineChannel, attempt: Attempt) -> None:
-        """End an attempt whose result is complete, or wanted by nobody.
+        """End an attempt whose result is complete, or whose client no longer waits.
 
-        The connection lets go of it first: a failure of the connection must not take a complete
-        result with it. The engine is told to release the result before the decisions hear of the
-        outcome, so that it is free when the next request is sent to it.
+        It is detached from the connection first, since a failure of the connection must not lose a
+        complete result. The engine is told to release the result before the decisions are notified
+        of the outcome, so that it is free when the next request is sent to it.
         """
         request = attempt.request
         rows = b""
--- a/umberusher/upstream/stall_detection.py
+++ b/umberusher/upstream/stall_detection.py
@@ -1,4 +1,4 @@
-"""Finds replies and results that broke off, and gives up what would wait for them in vain."""
+"""Detects replies and results that have stalled, and gives up the attempts that wait for them."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 log = logging.getLogger(__name__)
 
-# Between two parts of a reply: the engine writes each reply in one go.
+# Between two parts of a reply: the engine writes each reply in one call.
 MAX_REPLY_GAP_MS = 500.0
-# For a reply in all, from its first byte.
+# For a whole reply, from its first byte.
 MAX_REPLY_TIME_MS = 1_500.0
-# Until the next page of a result that has begun.
+# Between two pages of a result.
 MAX_PAGE_GAP_MS = 1_500.0
 
 
 class StallDetector:
-    """Reviews connections by time; reading alone can't notice what does not come."""
+    """Reviews connections periodically, since missing data triggers no read event."""
 
     __slots__ = ("_context",)
 
@@ -27,7 +27,7 @@
         self._context = context
 
     def review(self, connection: EngineConnection, now_ms: float) -> None:
-        """Close a connection, or give up results on it, where waiting is in vain."""
+        """Close a stalled connection, or give up stalled results on it."""
         if self._has_stalled_reply(connection, now_ms):
             log.warning(
                 "engine_connection_closed engine=%s reason=%r", connection.engine, "reply stalled"
@@ -36,7 +36,8 @@
             return
         has_unresolved = connection.cancellations.unresolved_since_ms is not None
         if has_unresolved and connection.can_close_as_unread():
-            # A cancel command lies behind its request: if both are unread, the query begins late.
+            # A cancel command follows its request: if the engine has read neither, the query starts
+            # late.
             connection.transport.abort("cancelled request may be unread")
             return
         self._give_up_stalled_results(connection, now_ms)
@@ -45,7 +46,7 @@
 
     @staticmethod
     def _has_stalled_reply(connection: EngineConnection, now_ms: float) -> bool:
-        """Return whether a reply broke off; all others behind it would wait in vain."""
+        """Return whether a reply has stalled; replies after it could not arrive either."""
         if connection.partial_reply_since_ms is None:
             return False
         return (
@@ -54,10 +55,10 @@
         )
 
     def _give_up_stalled_results(self, connection: EngineConnection, now_ms: float) -> None:
-        """Give up results whose next page does not come.
+        """Give up results whose next page does not arrive.
 
-        A page that is late or lost says little of the other attempts while those get replies.
-        Where nothing else has arrived since, the connection is dead and is closed.
+        A late or lost page does not affect the other attempts while they get replies. Where nothing
+        has arrived since the last page, the connection is dead and is closed.
         """
         for attempt in list(connection.attempts.values()):
             if not self._has_stalled_result(connection, attempt, now_ms):
@@ -75,7 +76,7 @@
 
     @staticmethod
     def _has_stalled_result(connection: EngineConnection, attempt: Attempt, now_ms: float) -> bool:
-        """Return whether a result's pages stopped; a part of a reply may be the next page."""
+        """Return whether a result's pages have stopped; a partial reply may be the next page."""
         if not attempt.page_count or connection.partial_reply_since_ms is not None:
             return False
         return now_ms - attempt.last_page_ms > MAX_PAGE_GAP_MS
--- a/umberusher/upstream/upstream.py
+++ b/umberusher/upstream/upstream.py
@@ -24,13 +24,13 @@
 
 
 class Upstream:
-    """Wires the parts of the upstream side together.
+    """Wires the classes of the upstream side together.
 
     Attributes:
-        context: What the parts share.
+        context: Objects that these classes share.
         pool: The connections to all engines.
         attempts: Starts attempts and gives them up.
-        health_checks: Asks engines for their load.
+        health_checks: Polls engines for their load.
     """
 
     __slots__ = ("_remaining_time", "attempts", "context", "health_checks", "pool")
@@ -60,31 +60,32 @@
 
     @property
     def expired(self) -> Counter[str]:
-        """Return the attempts that were not sent because too little time was left, by reason."""
+        """Return the count of attempts that were not sent for lack of time, by reason."""
         return self._remaining_time.expired
 
     @property
     def given_up(self) -> Counter[str]:
-        """Return the attempts that nobody wanted any more, by where their bytes were."""
+        """Return the count of attempts that were given up, by the location of their bytes."""
         return self.attempts.given_up
 
     def _withdraw_from_engine(self, endpoint: Endpoint) -> None:
-        """Withdraw what has not begun from an engine that is draining or gone."""
+        """Withdraw unsent requests from an engine that is draining or removed."""
         for connection in self.pool.connections_to(endpoint.engine):
             self.attempts.withdraw_queued(connection)
             connection.close_if_idle()
 
     def _supersede_connections(self, endpoint: Endpoint) -> None:
-        """Take nothing new on the connections of an engine that has moved or restarted.
+        """Stop using the connections of an engine that has moved or restarted for new requests.
 
-        They are marked first: what is withdrawn is sent again at once, and must not go over them.
+        They are marked first: a withdrawn request is sent again at once, and must not be sent on
+        them.
         """
         for connection in self.pool.connections_to(endpoint.engine):
             connection.superseded = True
         self._withdraw_from_engine(endpoint)
 
     def sweep(self) -> None:
-        """Close connections that idle or have stalled."""
+        """Close idle and stalled connections."""
         self.pool.sweep()
 
     def close(self) -> None:
