--- a/tests/upstream/life_player.py
+++ b/tests/upstream/life_player.py
@@ -1,4 +1,4 @@
-"""Plays a trace of the model of one request against a real broker, with a fake clock and sockets of the test's.
+"""Plays a trace of the model of one request against a real broker, on sockets and a fake clock.
 
 Used by tests/upstream/test_request_life.py up to a small depth and by scripts/explore_life.py beyond it.
 """
@@ -16,7 +16,7 @@
 from umberusher.protocol import thrift
 
 ROWS = b"a\tb\tc\n"
-# Of several allowed states that fit what is seen, the first by this order is taken.
+# Of several allowed states that match the observation, the first in this order is chosen.
 PHASE_ORDER = (
     Phase.AWAITING_RETRY,
     Phase.ENDED,
@@ -26,12 +26,12 @@
 )
 
 
-class DiffersError(Exception):
-    """The program did what the model does not allow."""
+class DeviationError(Exception):
+    """The broker did something that the model does not allow."""
 
 
 class Player:
-    """One request of a class on a rig of two engines."""
+    """Plays events on one request, on a rig with two engines."""
 
     def __init__(self, rig: Rig, unsafe: bool) -> None:
         self.rig, self.state = rig, RequestState(unsafe)
@@ -43,14 +43,14 @@
             **({"obj": "k"} if unsafe else {}),
         )
         self.engines: list[Peer] = []
-        self.reqs = 0
-        self.holder: Peer | None = None  # the engine's connection that has the attempt which is out
+        self.send_count = 0
+        self.holder: Peer | None = None  # the engine connection that holds the attempt in flight
         self.last: Peer | None = None
-        self.finals: list[Outcome] = []
-        self.late = False
+        self.answers: list[Outcome] = []
+        self.time_has_passed = False
 
-    def look(self) -> None:
-        """Let the broker act, and read what came."""
+    def poll(self) -> None:
+        """Step the broker, and read what has arrived."""
         for _ in range(4):
             self.rig.step(0)
             for name in ("s-0", "s-1"):
@@ -62,35 +62,35 @@
         for peer in self.engines:
             count = peer.read().count(b"REQ " + self.rid.encode())
             if count > getattr(peer, "reqs", 0):
-                self.reqs += count - getattr(peer, "reqs", 0)
+                self.send_count += count - getattr(peer, "reqs", 0)
                 peer.reqs, self.holder = count, peer
         ring = RingBuffer(1 << 20)
         ring.write(self.client.read())
         self.client.got = b""
         while (frame := thrift.next_frame(ring)) is not None:
             if b"backoff" in frame:
-                self.finals.append(Outcome.REJECTED)
+                self.answers.append(Outcome.REJECTED)
             elif b"reason" in frame:
-                self.finals.append(Outcome.FAILED)
+                self.answers.append(Outcome.FAILED)
             else:
-                self.finals.append(Outcome.SERVED)
+                self.answers.append(Outcome.SERVED)
         self.client.got = ring.take(len(ring))
 
     def settle(self) -> None:
-        """Look until nothing new is to be seen; held requests are tried on the module's ticks."""
+        """Poll several times: held requests are retried on the ticks of the decisions."""
         for _ in range(8):
-            self.look()
+            self.poll()
 
-    def do(self, event: Event) -> bool:
-        """Carry an event out; False where it can't happen to the program as it stands."""
+    def apply(self, event: Event) -> bool:
+        """Apply an event; return False where it can't happen in the present state of the broker."""
         rid, holder = self.rid.encode(), self.holder
         if event is Event.FULLY_SENT:
             for _ in range(40):
-                self.look()
-                if self.reqs > self.state.attempt_count or self.finals:
+                self.poll()
+                if self.send_count > self.state.attempt_count or self.answers:
                     break
                 self.rig.now += 0.005
-            return self.reqs > self.state.attempt_count
+            return self.send_count > self.state.attempt_count
         if event in (Event.CLIENT_DISCONNECTED, Event.CLIENT_INTERRUPTED):
             if event is Event.CLIENT_DISCONNECTED:
                 self.client.sock.setsockopt(
@@ -102,15 +102,16 @@
                 self.client.sock.send(interrupt(self.rig.seqid))
         elif event is Event.DEADLINE:
             self.rig.later(3_500, 10.0)
-            self.late = True
+            self.time_has_passed = True
         elif event is Event.PAGES_STOPPED:
             self.rig.later(1_700, 10.0)
-            self.late = True
+            self.time_has_passed = True
         elif event is Event.STALL:
             self.rig.now += 0.1
         elif event is Event.ENGINE_DRAINING:
-            if holder is None or holder.ended or self.late:
-                return False  # after a deadline the board's connection has been silent for long, and is a new one
+            if holder is None or holder.ended or self.time_has_passed:
+                # After a deadline the discovery connection was silent for long and was replaced.
+                return False
             self.rig.news((holder.name, holder.name, "DRAINING"))
         elif event is Event.CONNECTION_RESET:
             if holder is None or holder.ended:
@@ -139,32 +140,37 @@
         return True
 
     def play(self, trace: tuple[Event, ...]) -> int:
-        """Play it as far as it can happen; how many events did. DiffersError where the model does not allow it."""
+        """Play a trace as far as it can happen; return how many events did.
+
+        Raises:
+            DeviationError: The broker did something that the model does not allow.
+        """
         for number, event in enumerate(trace):
             allowed = step(self.state, event)
             if not allowed:
-                return number  # the program has taken another of the model's ways
+                return number  # the broker has taken another path of the model
             if self.state.phase is Phase.AWAITING_RETRY and event is not Event.FULLY_SENT:
                 self.settle()
-                if self.reqs > self.state.attempt_count:
-                    return number  # it was sent again before the event could come
-            if not self.do(event):
-                if event is Event.FULLY_SENT and self.finals:
+                if self.send_count > self.state.attempt_count:
+                    return number  # it was sent again before the event could happen
+            if not self.apply(event):
+                if event is Event.FULLY_SENT and self.answers:
                     self._check_end(event)
                 return number
-            self.state = self._seen(event, allowed)
+            self.state = self._observed_state(event, allowed)
         return len(trace)
 
-    def _seen(self, event: Event, allowed: set[RequestState]) -> RequestState:
-        """The one allowed state that fits what is seen."""
-        left = self.state.outcome is Outcome.DISCONNECTED or event in (
+    def _observed_state(self, event: Event, allowed: set[RequestState]) -> RequestState:
+        """Return the allowed state that matches the observation."""
+        disconnected = self.state.outcome is Outcome.DISCONNECTED or event in (
             Event.CLIENT_DISCONNECTED,
             Event.CLIENT_INTERRUPTED,
         )
-        final = Outcome.DISCONNECTED if left else self.finals[0] if self.finals else None
-        if len(self.finals) > 1 or left and self.finals:
-            raise DiffersError(f"{event}: answers {self.finals}")
-        # The program may send by itself before the event or after it: the model does that in a step of its own.
+        final = Outcome.DISCONNECTED if disconnected else self.answers[0] if self.answers else None
+        if len(self.answers) > 1 or disconnected and self.answers:
+            raise DeviationError(f"{event}: answers {self.answers}")
+        # The broker may send the request before or after the event; in the model that is a separate
+        # step.
         held = [each for each in allowed if each.waiting]
         allowed = allowed | {after for each in held for after in step(each, Event.FULLY_SENT)}
         if self.state.waiting:
@@ -172,42 +178,44 @@
                 after for each in step(self.state, Event.FULLY_SENT) for after in step(each, event)
             }
         fitting = [
-            each for each in allowed if each.outcome == final and each.attempt_count == self.reqs
+            each
+            for each in allowed
+            if each.outcome == final and each.attempt_count == self.send_count
         ]
         fitting.sort(key=lambda each: PHASE_ORDER.index(each.phase))
         if not fitting:
-            raise DiffersError(
-                f"{event} at {self.state}: seen final {final!r}, {self.reqs} sent; allowed {allowed}"
+            raise DeviationError(
+                f"{event} at {self.state}: seen final {final!r}, {self.send_count} sent; allowed {allowed}"
             )
         return fitting[0]
 
     def _check_end(self, event: Event) -> None:
-        if len(self.finals) > 1:
-            raise DiffersError(f"{event}: answers {self.finals}")
+        if len(self.answers) > 1:
+            raise DeviationError(f"{event}: answers {self.answers}")
         if (
-            self.finals == [Outcome.REJECTED]
+            self.answers == [Outcome.REJECTED]
             and self.state.non_idempotent
             and self.state.may_have_run
         ):
-            raise DiffersError(f"{event}: refused what may have run")
+            raise DeviationError(f"{event}: refused what may have run")
 
 
 def play_all(
-    depth: int, unsafe: bool, traces, say=lambda text: None, cancel: bool = False
+    depth: int, unsafe: bool, traces, report=lambda text: None, cancel: bool = False
 ) -> tuple[int, int, list[str]]:
-    """Play traces; how many, how many events happened, and what differed."""
+    """Play traces; return the number of traces, of events that happened, and the deviations."""
     count = events = 0
-    differs = []
+    deviations = []
     for trace in traces(depth, unsafe):
         rig = Rig(2, cancel=cancel)
         try:
             player = Player(rig, unsafe)
             events += player.play(trace)
-        except (DiffersError, AssertionError) as error:
-            differs.append(f"{' '.join(trace)}: {error}")
+        except (DeviationError, AssertionError) as error:
+            deviations.append(f"{' '.join(trace)}: {error}")
         finally:
             rig.close()
         count += 1
         if not count % 500:
-            say(f"{count} traces, {events} events, {len(differs)} differ")
-    return count, events, differs
+            report(f"{count} traces, {events} events, {len(deviations)} differ")
+    return count, events, deviations
--- a/tests/upstream/test_attempts.py
+++ b/tests/upstream/test_attempts.py
@@ -1,4 +1,8 @@
-"""Attempts and what may come between two of their steps; see docs/crossings.md."""
+"""Attempts, and events that arrive between two of their steps; see docs/crossings.md.
+
+Guards against requests that are sent for clients that have disconnected or to engines that accept
+no new ones, requests that are sent twice, and replies that are matched to the wrong attempt.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 
 @pytest.fixture
 def delayed_connects(monkeypatch):
-    """Hold connections to engines back; return those that wait, and what lets them connect."""
+    """Delay connections to engines; return the waiting ones and a function that connects them."""
     waiting, real = [], connection.Connection._check_connected
     monkeypatch.setattr(
         connection.Connection, "_check_connected", lambda self: waiting.append(self)
@@ -30,22 +34,24 @@
     yield waiting, connect_all
 
 
-@pytest.mark.parametrize("word", ["closed", "interrupt"])
-def test_attempt_is_not_started_when_client_has_disconnected(rig, word):
-    """Its word lies with the kernel while one long round runs: the next attempt began all the same."""
+@pytest.mark.parametrize("departure", ["closed", "interrupt"])
+def test_attempt_is_not_started_when_client_has_disconnected(rig, departure):
+    """The disconnect is still in the kernel's buffer during one long iteration of the event loop.
+
+    The next attempt used to be started nevertheless.
+    """
     rig = rig(2)
     client = rig.client()
     rid = rig.ask(client)
     first = rig.broker.registry.requests[rid].attempt
     rig.until(lambda: first.progress >= 3)
     rig.now += 0.3
-    if word == "closed":
+    if departure == "closed":
         client.sock.close()
     else:
         client.sock.send(interrupt(rig.seqid))
-    rig.broker.registry.end_attempt(
-        first, AttemptOutcome.OVERLOADED
-    )  # in the round in which no event has told of the client yet
+    # In this iteration of the loop no event has been read from the client yet.
+    rig.broker.registry.end_attempt(first, AttemptOutcome.OVERLOADED)
     assert rid not in rig.broker.balancer.requests
     assert (
         rig.broker.registry.outcome_counts["attempt moot"] == 1 and not rig.broker.registry.requests
@@ -53,11 +59,14 @@
 
 
 def test_attempts_are_not_started_when_many_clients_disconnect_at_once(rig):
-    """More than a round's 64 events: the room that opens in the first round is for those who are still there."""
+    """More clients disconnect than the 64 events of one loop iteration.
+
+    Capacity that becomes free in the first iteration must go to clients that are still connected.
+    """
     rig = rig()
     clients = [rig.client() for _ in range(100)]
     choose = rig.broker.balancer.choice.choose
-    rig.broker.balancer.choice.choose = lambda request, now_ms: None  # all of them wait
+    rig.broker.balancer.choice.choose = lambda request, now_ms: None  # all requests are held
     rids = [rig.ask(client) for client in clients]
     rig.now += 0.3
     for number, client in enumerate(clients[:-1]):
@@ -66,7 +75,7 @@
         else:
             client.sock.send(interrupt(number + 1))
     rig.broker.balancer.choice.choose = choose
-    # For the decisions no time has passed: an earlier time counts as that of the event before.
+    # For the decisions no time has passed: an earlier time counts as that of the previous event.
     for action in rig.broker.balancer.handle(0.0, TimerFired("tick")):
         if isinstance(action, StartAttempt):
             rig.broker.action_handlers[StartAttempt](action)
@@ -76,23 +85,22 @@
     assert engine.got.count(b"REQ") == 1
 
 
-def test_engine_connection_sends_nothing_when_client_left_while_it_connected(rig):
+def test_engine_connection_sends_nothing_when_client_disconnects_while_it_connects(rig):
     rig = rig()
     client = rig.client()
     rig.until(lambda: rig.broker.frontend.clients)
-    made = []
+    connecting = []
     real = connection.Connection._check_connected
-    connection.Connection._check_connected = lambda self: made.append(
-        self
-    )  # the connection does not come up yet
+    # The connection is not established yet.
+    connection.Connection._check_connected = lambda self: connecting.append(self)
     try:
         rid = rig.ask(client)
-        rig.until(lambda: made)
+        rig.until(lambda: connecting)
     finally:
         connection.Connection._check_connected = real
     rig.now += 0.2
     client.sock.close()
-    made[0]._check_connected()
+    connecting[0]._check_connected()
     assert rid not in rig.broker.registry.requests
     engine = rig.accept("s-0")
     rig.later(100)
@@ -126,7 +134,7 @@
         client.sock.send(interrupt(rig.seqid))
     elif event == "late":
         rig.now += 2.0
-    else:  # the connection has had its time: it is closed, and the request goes by another
+    else:  # the connect timeout closes the connection, and the request is sent on another
         rig.now += 0.2
     for _ in range(3):
         rig.step(0)
@@ -145,18 +153,20 @@
         rig.expect(rig.accept("s-9" if event == "moved" else "s-0"), f"REQ {rid}".encode())
 
 
-def test_request_gets_one_answer_in_time_when_all_connections_come_up_late(rig, delayed_connects):
+def test_request_gets_one_answer_in_time_when_all_connections_are_established_late(
+    rig, delayed_connects
+):
     waiting, connect_all = delayed_connects
     rig = rig(3)
     client = rig.client()
     rid = rig.ask(client)
-    for _ in range(130):  # all of its time
+    for _ in range(130):  # until its deadline has passed
         rig.later(20)
         assert (
             sum(
-                len(link.attempts)
-                for links in rig.broker.upstream.pool.by_engine.values()
-                for link in links
+                len(each.attempts)
+                for connections in rig.broker.upstream.pool.by_engine.values()
+                for each in connections
             )
             <= 1
         )
@@ -175,21 +185,21 @@
 
 
 @pytest.mark.parametrize("moment", ["at once", "long after", "pages"])
-@pytest.mark.parametrize("ending", [False, True])
-def test_non_idempotent_attempt_fails_once_when_its_connection_resets(rig, moment, ending):
+@pytest.mark.parametrize("shutting_down", [False, True])
+def test_non_idempotent_attempt_fails_once_when_its_connection_resets(rig, moment, shutting_down):
     rig = rig(2)
     client = rig.client()
     rid = rig.ask(client, "load", obj="k", budget="20000")
     engine = rig.accept(rig.broker.registry.requests[rid].attempt.engine)
     rig.expect(engine, b"park_1.sites\r\n")
-    if ending:
+    if shutting_down:
         rig.broker.loop.running = True
         rig.broker.request_shutdown()
     if moment == "pages":
         engine.sock.send(f"{rid} HIT count=2 6\r\na\t1\t2\n\r\n".encode())
         rig.expect(engine, b"FETCH")
     elif moment == "long after":
-        rig.later(1500 if ending else 3000)
+        rig.later(1500 if shutting_down else 3000)
     engine.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     engine.sock.close()
     assert struct.pack(">bh", 12, 2) in rig.answer(client)  # Aborted
@@ -207,7 +217,10 @@
 
 
 def test_engine_connection_ignores_late_reply_when_next_attempt_is_out(rig):
-    """'full', then the same request there again, then a late second answer to the first: it ended the new one."""
+    """An engine rejects a request, gets it again, then sends a late second reply to the first attempt.
+
+    That reply used to end the new attempt.
+    """
     rig = rig()
     client, rid, engine = rig.begun()
     engine.sock.send(f"{rid} SHED - 0\r\n\r\n".encode())
--- a/tests/upstream/test_cancellation.py
+++ b/tests/upstream/test_cancellation.py
@@ -1,4 +1,8 @@
-"""Cancels where the settings allow them, what came of a STOP, and where a request's time went."""
+"""Cancellation at the sockets: STOP commands, their outcomes, receipts and the account of time.
+
+Guards against attempts that end twice or never after a cancellation, retries of queries that may
+still run, results that are not released, and lost accounting of a request's time.
+"""
 
 from __future__ import annotations
 
@@ -20,35 +24,35 @@
 HIT = b" HIT count=1 6\r\na\t1\t2\n\r\n"
 
 
-def heard(rig) -> list[Event]:
-    """What the decisions hear from now on."""
-    made = []
+def record_events(rig) -> list[Event]:
+    """Return a list that receives every later event that is posted to the decisions."""
+    events = []
     post = rig.broker.post
-    rig.broker.registry.post = lambda event: (made.append(event), post(event))
-    return made
+    rig.broker.registry.post = lambda event: (events.append(event), post(event))
+    return events
 
 
-def endings(events) -> list[tuple[AttemptOutcome, bool]]:
+def attempt_endings(events) -> list[tuple[AttemptOutcome, bool]]:
     return [
         (event.outcome, event.request_closed) for event in events if isinstance(event, AttemptEnded)
     ]
 
 
-def tag(engine) -> bytes:
+def last_ping_tag(engine) -> bytes:
     return engine.got.rpartition(b"HELO ")[2].split(b"\r\n")[0]
 
 
-def leaving(rig):
-    """A client's request that an engine has, and the client's interrupt."""
+def cancelled_request(rig):
+    """Send a request to an engine, then the client's interrupt; return them with later events."""
     client, rid, engine = rig.begun()
-    events = heard(rig)
+    events = record_events(rig)
     client.sock.send(interrupt(rig.seqid))
     rig.expect(engine, b"STOP " + rid.encode() + b"\r\nHELO ")
     return client, rid.encode(), engine, events
 
 
 @pytest.mark.parametrize(
-    "way, outcome, ending",
+    "resolution, outcome, ending",
     [
         ("proof", "CANCELLED", AttemptOutcome.CANCELLED),
         ("HIT", "OVERTOOK", AttemptOutcome.SUCCEEDED),
@@ -59,28 +63,27 @@
         ("nothing", "UNKNOWN", AttemptOutcome.CANCELLED),
     ],
 )
-def test_cancellation_reports_one_outcome_when_it_is_resolved(rig, way, outcome, ending):
+def test_cancellation_reports_one_outcome_when_it_is_resolved(rig, resolution, outcome, ending):
     rig = rig(1, cancel=True)
-    client, rid, engine, events = leaving(rig)
-    assert (
-        not endings(events) and rid.decode() in rig.broker.registry.requests
-    )  # its threads may be taken yet
-    if way == "proof":
-        engine.sock.send(tag(engine) + b" PONG -\r\n")
-    elif way == "HIT":
+    client, rid, engine, events = cancelled_request(rig)
+    # The engine's threads may still be in use.
+    assert not attempt_endings(events) and rid.decode() in rig.broker.registry.requests
+    if resolution == "proof":
+        engine.sock.send(last_ping_tag(engine) + b" PONG -\r\n")
+    elif resolution == "HIT":
         engine.sock.send(rid + HIT)
-    elif way == "reset":
+    elif resolution == "reset":
         engine.sock.close()
         rig.peers.remove(engine)
-    elif way == "nothing":
+    elif resolution == "nothing":
         rig.later(CANCEL_TIMEOUT_MS + 20)
     else:
-        engine.sock.send(rid + b" %s -\r\n" % way.encode())
+        engine.sock.send(rid + b" %s -\r\n" % resolution.encode())
     rig.until(lambda: rid.decode() not in rig.broker.registry.requests)
     rig.later(400)
-    assert endings(events) == [(ending, True)] and rig.broker.registry.account.cancel_outcomes == {
-        outcome: 1
-    }
+    assert attempt_endings(events) == [
+        (ending, True)
+    ] and rig.broker.registry.account.cancel_outcomes == {outcome: 1}
     assert not client.read() and engine.got.count(b"STOP") == 1
 
 
@@ -102,42 +105,38 @@
     rids = [rig.ask(client) for _ in range(5)]
     engine = rig.accept("s-0")
     rig.until(lambda: engine.read().count(b"REQ") == 5)
-    events = heard(rig)
+    events = record_events(rig)
     for seqid in (1, 2, 3):
         client.sock.send(interrupt(seqid))
     rig.until(lambda: engine.read().count(b"STOP") == 3)
     assert engine.got.count(b"HELO") == 1
-    engine.sock.send(
-        tag(engine) + b" PONG -\r\n"
-    )  # proves the first; the next probe is behind the others
+    # This answer proves the first STOP; the next ping is written after the others.
+    engine.sock.send(last_ping_tag(engine) + b" PONG -\r\n")
     rig.until(lambda: engine.read().count(b"HELO") == 2)
-    assert len(endings(events)) in (1, 2)
-    engine.sock.send(tag(engine) + b" PONG -\r\n")
-    rig.until(lambda: len(endings(events)) == 3)
-    (link,) = rig.broker.upstream.pool.by_engine["s-0"]
-    assert not link.abandoned_ids and set(link.attempts) == set(
-        rids[3:]
-    )  # nothing late can come: the ids are free again
+    assert len(attempt_endings(events)) in (1, 2)
+    engine.sock.send(last_ping_tag(engine) + b" PONG -\r\n")
+    rig.until(lambda: len(attempt_endings(events)) == 3)
+    (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
+    # No late reply can arrive any more: the ids may be used again on this connection.
+    assert not connection.abandoned_ids and set(connection.attempts) == set(rids[3:])
 
 
 def test_cancellation_serves_result_when_its_client_still_waits(rig):
     rig = rig(1, cancel=True)
     client, rid, engine = rig.begun()
-    events = heard(rig)
+    events = record_events(rig)
     attempt = rig.broker.registry.requests[rid].attempt
-    rig.broker.action_handlers[CancelAttempt](
-        CancelAttempt(rid, attempt.number)
-    )  # the decisions would have it tried elsewhere
+    # As when the decisions want to retry the request at another engine.
+    rig.broker.action_handlers[CancelAttempt](CancelAttempt(rid, attempt.number))
     rig.expect(engine, b"STOP")
-    assert (
-        not endings(events) and rig.broker.registry.requests[rid].attempt is attempt
-    )  # never two attempts out
+    # Never two attempts in flight.
+    assert not attempt_endings(events) and rig.broker.registry.requests[rid].attempt is attempt
     engine.sock.send(rid.encode() + b" HIT count=2 6\r\na\t1\t2\n\r\n")
     rig.expect(engine, b"FETCH " + rid.encode() + b" 1")
     engine.sock.send(rid.encode() + b" PART pos=1 6\r\nb\t1\t2\n\r\n")
     assert b"a\t1\t2\nb\t1\t2\n" in rig.answer(client)
     assert (
-        endings(events) == [(AttemptOutcome.SUCCEEDED, True)]
+        attempt_endings(events) == [(AttemptOutcome.SUCCEEDED, True)]
         and rig.broker.registry.account.wasted_work_ms == 0
     )
 
@@ -148,27 +147,26 @@
     rig.ask(client, "load", obj="k")
     engine = rig.accept("s-0")
     rig.expect(engine, b"REQ")
-    events = heard(rig)
+    events = record_events(rig)
     rig.later(1_990, 10.0)
-    while not endings(events):
+    while not attempt_endings(events):
         rig.later(1.0, 1.0)
-    assert (
-        b"STOP" not in engine.got and client.read()
-    )  # ended and answered before the engine can have read a STOP
+    # The request is ended and answered before the engine can have read a STOP.
+    assert b"STOP" not in engine.got and client.read()
     rig.expect(engine, b"STOP")
-    engine.sock.send(tag(engine) + b" PONG -\r\n")
+    engine.sock.send(last_ping_tag(engine) + b" PONG -\r\n")
     rig.until(lambda: rig.broker.registry.account.cancel_outcomes == {"CANCELLED": 1})
-    assert len(endings(events)) == 1
+    assert len(attempt_endings(events)) == 1
 
 
 def test_cancellation_sends_no_ping_when_settings_forbid_cancellation(rig):
     rig = rig(2)
     rig.lean("s-0")
     client, rid, engine = rig.begun()
-    events = heard(rig)
+    events = record_events(rig)
     client.sock.send(interrupt(rig.seqid))
     rig.expect(engine, b"STOP")
-    assert endings(events) == [(AttemptOutcome.CANCELLED, True)]
+    assert attempt_endings(events) == [(AttemptOutcome.CANCELLED, True)]
     rig.later(300)
     assert (
         b"HELO" not in engine.read()
@@ -179,19 +177,21 @@
 
 @pytest.mark.parametrize("receipts", [False, True])
 def test_cancellation_sends_no_ping_when_settings_forbid_health_checks(rig, receipts):
-    """Found by reading, for the second site: it heeds cancels and forbids probes, and each STOP had one behind it."""
+    """Engines may support cancellation and forbid health checks; each STOP was followed by a ping.
+
+    Found in a review for the second site, whose engines do so.
+    """
     rig = rig(2, cancel=True, receipts=receipts, probes=False)
     rig.lean("s-0")
     client, rid, engine = rig.begun()
-    events = heard(rig)
+    events = record_events(rig)
     attempt = rig.broker.registry.requests[rid].attempt
-    rig.broker.upstream.attempts.give_up(
-        attempt, AttemptOutcome.CANCELLED
-    )  # as when the decisions take a plan for a bad one
+    # As when the decisions cancel an attempt because its query plan seems bad.
+    rig.broker.upstream.attempts.give_up(attempt, AttemptOutcome.CANCELLED)
     rig.expect(engine, b"STOP")
-    assert not endings(events)
+    assert not attempt_endings(events)
     rig.later(CANCEL_TIMEOUT_MS + 100, 10.0)
-    assert endings(events) == [(AttemptOutcome.CANCELLED, False)]
+    assert attempt_endings(events) == [(AttemptOutcome.CANCELLED, False)]
     assert (
         b"HELO" not in engine.read()
         and b"STAT" not in engine.got
@@ -200,7 +200,7 @@
     assert rig.broker.registry.account.cancel_outcomes["UNKNOWN"] == 1
 
 
-# -- Hard cases
+# -- Events that cross
 
 
 def test_attempt_is_not_sent_when_client_cancels_in_the_same_read(rig):
@@ -212,7 +212,7 @@
     )
     client.sock.send(call + interrupt(1))
     rig.later(300)
-    engine = rig.accept("s-0")  # a connection may have begun; nothing goes over it
+    engine = rig.accept("s-0")  # a connection may have been opened; no request is sent on it
     rig.later(100)
     assert b"REQ" not in engine.read() and not rig.broker.registry.requests and not client.read()
     assert sum(rig.broker.registry.account.disconnected.values()) == 1
@@ -230,17 +230,21 @@
     client.sock.close()
     rig.expect(engine, b"STOP " + first.encode())
     if cancel:
-        engine.sock.send(tag(engine) + b" PONG -\r\n")
+        engine.sock.send(last_ping_tag(engine) + b" PONG -\r\n")
     rig.until(lambda: first not in rig.broker.registry.requests)
     rig.later(460, 10.0)
-    assert rig.broker.registry.requests[following].attempt is None  # it may run yet: 500 ms of rest
-    rig.later(160, 10.0)  # held queries are tried every 100 ms where there is little traffic
+    # The first query may still run: the next attempt waits for 500 ms.
+    assert rig.broker.registry.requests[following].attempt is None
+    rig.later(160, 10.0)  # held queries are retried every 100 ms in light traffic
     rig.until(lambda: rig.broker.registry.requests[following].attempt)
     assert engine.read().count(first.encode()) == 2  # its REQ and its STOP
 
 
 def test_request_is_cancelled_when_client_half_closes(rig):
-    """Clients of this protocol keep a connection open both ways; an end of input is the end of the client."""
+    """Clients of this protocol never half-close a connection.
+
+    An end of input therefore means that the client has disconnected.
+    """
     rig = rig(1)
     client, rid, engine = rig.begun()
     client.sock.shutdown(socket.SHUT_WR)
@@ -251,18 +255,18 @@
 def test_request_ends_once_when_result_and_cancel_cross(rig):
     rig = rig(1, cancel=True)
     client, rid, engine = rig.begun()
-    events = heard(rig)
+    events = record_events(rig)
     engine.sock.send(rid.encode() + HIT)
-    client.sock.send(interrupt(rig.seqid))  # both lie in the kernel when the broker looks
-    rig.until(lambda: endings(events))
+    client.sock.send(interrupt(rig.seqid))  # both are in the kernel's buffers when the broker polls
+    rig.until(lambda: attempt_endings(events))
     rig.later(400)
-    assert len(endings(events)) == 1 and not rig.broker.registry.requests
+    assert len(attempt_endings(events)) == 1 and not rig.broker.registry.requests
 
 
 def test_result_is_released_once_when_client_resets_between_pages(rig):
     rig = rig(1, cancel=True)
     client, rid, engine = rig.begun()
-    events = heard(rig)
+    events = record_events(rig)
     engine.sock.send(rid.encode() + b" HIT count=3 6\r\na\t1\t2\n\r\n")
     rig.expect(engine, b"FETCH")
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -271,16 +275,16 @@
     rig.expect(engine, b"END " + rid.encode())
     engine.sock.send(rid.encode() + b" PART pos=1 6\r\nb\t1\t2\n\r\n")
     rig.later(400)
-    assert endings(events) == [(AttemptOutcome.CANCELLED, True)]
+    assert attempt_endings(events) == [(AttemptOutcome.CANCELLED, True)]
     assert engine.read().count(b"END") == 1 and b"STOP" not in engine.got
     assert rig.broker.registry.account.disconnected == {"pages": 1}
 
 
 @pytest.mark.parametrize(
-    "budget, told",
+    "budget, expected_error",
     [("0", "out of range"), ("-1", "a number"), ("315360000000", "out of range"), ("1", None)],
 )
-def test_request_gets_one_answer_when_its_budget_is_extreme(rig, budget, told):
+def test_request_gets_one_answer_when_its_budget_is_extreme(rig, budget, expected_error):
     rig = rig(1)
     client = rig.client()
     client.sock.send(
@@ -291,12 +295,12 @@
         )
     )
     answer = rig.answer(client)
-    assert told is None or told.encode() in answer
+    assert expected_error is None or expected_error.encode() in answer
     rig.later(100)
     assert rig.broker.registry.attempts_sent == 0 and not rig.broker.registry.requests
 
 
-def test_work_is_cancelled_once_when_client_leaves_after_hot_restart(rig, tmp_path):
+def test_work_is_cancelled_once_when_client_disconnects_after_hot_restart(rig, tmp_path):
     rig = rig(1, str(tmp_path / "s"), cancel=True)
     client = rig.client()
     rid = rig.ask(client, "load", obj="k", budget="25000")
@@ -321,11 +325,11 @@
 # -- The account of time
 
 
-def test_a_story_tells_of_all_attempts(rig):
+def test_request_end_event_covers_all_attempts(rig):
     rig = rig(2)
     rig.lean("s-0")
-    told = []
-    rig.broker.registry.account.emit_event = told.append
+    emitted = []
+    rig.broker.registry.account.emit_event = emitted.append
     client, rid, engine = rig.begun()
     rig.later(200)
     engine.sock.send(rid.encode() + b" SHED -\r\n")
@@ -333,16 +337,16 @@
     rig.expect(second, b"REQ")
     rig.later(500)
     client.sock.close()
-    rig.until(lambda: told)
-    (story,) = told
-    assert (story["end"], story["place"], story["engine"], story["attempts"]) == (
+    rig.until(lambda: emitted)
+    (event,) = emitted
+    assert (event["end"], event["place"], event["engine"], event["attempts"]) == (
         "left",
         "node",
         "s-1",
         2,
     )
-    assert sum(story[f"{part}_ms"] for part in PHASES) == pytest.approx(story["took_ms"], abs=1.0)
-    assert story["node_ms"] + story["way_ms"] == pytest.approx(700, abs=60)
+    assert sum(event[f"{phase}_ms"] for phase in PHASES) == pytest.approx(event["took_ms"], abs=1.0)
+    assert event["node_ms"] + event["way_ms"] == pytest.approx(700, abs=60)
 
 
 # -- Receipts
@@ -359,8 +363,8 @@
         engine.sock.send(rid.encode() + HIT)
         rig.until(lambda rid=rid: rid not in rig.broker.registry.requests)
         client.read()
-    (link,) = rig.broker.upstream.pool.by_engine["s-0"]
-    assert len(link.receipts.pending) <= 256
+    (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
+    assert len(connection.receipts.pending) <= 256
 
 
 @pytest.mark.parametrize("receipt", [False, True])
@@ -372,7 +376,7 @@
     rig.expect(engine, b"HELO r")
     assert engine.got.index(b"REQ " + rid.encode()) < engine.got.index(b"HELO r")
     if receipt:
-        engine.sock.send(tag(engine) + b" PONG -\r\n")
+        engine.sock.send(last_ping_tag(engine) + b" PONG -\r\n")
         rig.until(lambda: rig.broker.registry.requests[rid].attempt.receipt_ms)
     rig.later(500)
     rig.until(lambda: rid not in rig.broker.registry.requests)
--- a/tests/upstream/test_random_crossings.py
+++ b/tests/upstream/test_random_crossings.py
@@ -1,7 +1,9 @@
-"""Random crossings: clients, engines, the board and signals in any order, on real sockets and a fake clock.
+"""Random event orders from clients, engines, discovery and signals, on real sockets and a fake clock.
 
-The machine plays everyone but the broker and asks after each step: one answer for each call that is owed one, one
-attempt out, nothing sent for who has left, nothing to an engine that drains, no load twice, descriptors accounted for.
+Guards against races between events that cross. The state machine simulates everyone but the broker
+and checks after each step: one answer for each call that must get one, one attempt in flight, no
+request sent for a client that has disconnected or to an engine that drains, no load sent twice, and
+no descriptor leaked.
 """
 
 from __future__ import annotations
@@ -33,13 +35,13 @@
 from umberusher.frontend.client_connection import ClientConnection
 from umberusher.frontend.thrift_frontend import ThriftFrontend
 from umberusher.net.ring import RingBuffer
-from umberusher.pipeline import request_registry as book
+from umberusher.pipeline import request_registry
 from umberusher.pipeline.admission import RequestAdmission
 from umberusher.protocol import thrift
 
-REQ = re.compile(rb"REQ (\w+) lane=(\w+)\S* (\d+)\r\n")
+REQUEST_LINE = re.compile(rb"REQ (\w+) lane=(\w+)\S* (\d+)\r\n")
 ENGINES = ("s-0", "s-1", "s-2")
-LEFT_MS, DRAIN_MS = 100.0, 250.0
+MAX_SEND_AFTER_DISCONNECT_MS, MAX_SEND_AFTER_DRAIN_MS = 100.0, 250.0
 
 
 @dataclass(eq=False)
@@ -47,10 +49,10 @@
     rid: str
     seqid: int
     load: bool
-    left_ms: float | None = None  # since when nothing is owed
+    left_ms: float | None = None  # when its client stopped waiting for an answer
     answers: int = 0
-    ran: bool = False  # an engine has it whole and has not said that it never ran
-    out: Peer | None = None  # the engine's connection that has it
+    ran: bool = False  # an engine has all of it and has not replied that it never ran
+    holder: Peer | None = None  # the engine connection that has it
 
 
 @dataclass(eq=False)
@@ -62,7 +64,7 @@
 
 
 class Crossings(RuleBasedStateMachine):
-    """Everyone but the broker."""
+    """Simulates everyone but the broker."""
 
     @initialize()
     def begin(self):
@@ -76,10 +78,10 @@
     def now_ms(self):
         return self.rig.now * 1000.0
 
-    # -- Looking
+    # -- Observation
 
     def look(self):
-        """Let the broker act until it is quiet, read all, and check what is seen."""
+        """Step the broker until it is idle, read all sockets, and check the invariants."""
         for _ in range(4):
             if not self.ended:
                 self.rig.step(0)
@@ -94,29 +96,33 @@
                 peer.name = name
                 self.links.append(peer)
             for peer in self.links:
-                self.engine_reads(peer)
+                self.read_engine(peer)
             for caller in self.callers:
-                self.client_reads(caller)
-        self.check()
+                self.read_client(caller)
+        self.check_broker_state()
 
-    def engine_reads(self, peer):
+    def read_engine(self, peer):
         peer.read()
-        while (found := REQ.search(peer.got)) and len(peer.got) >= found.end() + int(found[3]) + 2:
+        while (found := REQUEST_LINE.search(peer.got)) and len(peer.got) >= found.end() + int(
+            found[3]
+        ) + 2:
             peer.got = peer.got[found.end() + int(found[3]) + 2 :]
             call = self.calls[found[1].decode()]
             assert (
-                call.left_ms is None or self.now_ms - call.left_ms <= LEFT_MS
+                call.left_ms is None or self.now_ms - call.left_ms <= MAX_SEND_AFTER_DISCONNECT_MS
             ), "sent for a client who has left"
-            assert call.out is None or call.out.ended, "two attempts out"
+            assert call.holder is None or call.holder.ended, "two attempts out"
             assert not (call.load and call.ran), "a load was sent twice"
-            since = self.drained[peer.name]
-            assert since is None or self.now_ms - since <= DRAIN_MS, "sent to an engine that drains"
-            call.out, call.ran = peer, True
-        for call in [call for call in self.calls.values() if call.out is peer]:
+            drained_ms = self.drained[peer.name]
+            assert (
+                drained_ms is None or self.now_ms - drained_ms <= MAX_SEND_AFTER_DRAIN_MS
+            ), "sent to an engine that drains"
+            call.holder, call.ran = peer, True
+        for call in [call for call in self.calls.values() if call.holder is peer]:
             if f"STOP {call.rid}".encode() in peer.got or f"END {call.rid}".encode() in peer.got:
-                call.out = None
+                call.holder = None
 
-    def client_reads(self, caller):
+    def read_client(self, caller):
         if caller.gone:
             return
         ring = RingBuffer(1 << 20)
@@ -126,7 +132,7 @@
             call = caller.calls[seqid]
             call.answers += 1
             assert call.answers == 1 and (
-                call.left_ms is None or self.crossed(call)
+                call.left_ms is None or self.crossed_answer(call)
             ), "an answer too many"
             if b"backoff" in frame:
                 assert not (call.load and call.ran), "refused what may have run"
@@ -139,23 +145,25 @@
             caller.gone = True
             caller.peer.sock.close()
 
-    def crossed(self, call):
+    def crossed_answer(self, call):
         return self.now_ms - call.left_ms < 1.0
 
-    def check(self):
+    def check_broker_state(self):
         if self.ended:
             return
         broker = self.rig.broker
-        out = [
+        attempts_in_flight = [
             attempt
             for links in broker.upstream.pool.by_engine.values()
             for link in links
             for attempt in link.attempts.values()
         ]
-        assert len({attempt.request.request_id for attempt in out}) == len(out)
+        assert len({attempt.request.request_id for attempt in attempts_in_flight}) == len(
+            attempts_in_flight
+        )
         assert not any(
-            ticket.is_open and not self.owed(rid)
-            for rid, ticket in broker.registry.requests.items()
+            request.is_open and not self.owed(rid)
+            for rid, request in broker.registry.requests.items()
         ), "not owed"
         for call in self.calls.values():
             if self.owed(call.rid) and call.read:
@@ -210,11 +218,11 @@
         fields |= {"obj": "k"} if load else {}
         data = execute(call.seqid, fields, b"select 1")
         caller.calls[call.seqid] = self.calls[call.rid] = call
-        if leaves == "interrupt":  # in the same bytes
+        if leaves == "interrupt":  # in the same write
             data += interrupt(call.seqid)
             call.left_ms = self.now_ms
         if not self.write(caller, data):
-            call.left_ms = self.now_ms  # it crossed a close
+            call.left_ms = self.now_ms  # the call crossed a close by the broker
         elif leaves == "close" and len(there) > 2:
             self.goes(caller)
         self.look()
@@ -226,20 +234,21 @@
             caller.peer.sock.send(data)
         except OSError:
             return False
-        # After the broker has shut its side a call is one that crossed the close: its client asks again elsewhere.
+        # A call sent after the broker has shut down its side has crossed the close: its client
+        # sends it again to another broker.
         caller.peer.read()
         return not caller.peer.ended
 
-    def goes(self, caller, way="close"):
+    def goes(self, caller, ending="close"):
         caller.gone = True
         for call in caller.calls.values():
             if not call.answers and call.left_ms is None:
                 call.left_ms = self.now_ms
-        if way == "reset":
+        if ending == "reset":
             caller.peer.sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
             )
-        if way == "half":
+        if ending == "half":
             caller.peer.sock.shutdown(socket.SHUT_WR)
         else:
             caller.peer.sock.close()
@@ -285,12 +294,14 @@
         self.answers(number, word)
 
     def something_out(self):
-        return any(call.out and not call.out.ended for call in self.calls.values())
+        return any(call.holder and not call.holder.ended for call in self.calls.values())
 
     def answers(self, number, word):
-        out = [call for call in self.calls.values() if call.out and not call.out.ended]
-        call = out[number % len(out)]
-        peer, rid = call.out, call.rid.encode()
+        pending_calls = [
+            call for call in self.calls.values() if call.holder and not call.holder.ended
+        ]
+        call = pending_calls[number % len(pending_calls)]
+        peer, rid = call.holder, call.rid.encode()
         if word == "reset":
             peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.close(peer)
@@ -309,7 +320,7 @@
             except OSError:
                 self.close(peer)
             if word in ("HIT", "SHED", "FAULT", "LATE", "twice"):
-                call.out = None
+                call.holder = None
             if word in ("SHED", "LATE"):
                 call.ran = False
             if word in ("half", "junk"):
@@ -320,7 +331,7 @@
         peer.sock.close()
         peer.ended, peer.read = True, lambda: b""
 
-    # -- The board, signals, time
+    # -- Discovery, signals, time
 
     @rule(
         engine=st.sampled_from(ENGINES), state=st.sampled_from(["DRAINING", "DELETED", "SERVING"])
@@ -351,7 +362,7 @@
         if not hasattr(self, "rig"):
             return
         try:
-            for _ in range(60):  # each call has had its answer by its deadline, whatever engines do
+            for _ in range(60):  # each call gets its answer by its deadline, whatever engines do
                 self.rig.now += 0.1
                 self.look()
             for call in self.calls.values():
@@ -381,15 +392,15 @@
 
 
 @pytest.mark.parametrize(
-    ("where", "name", "bug", "told"),
+    ("where", "name", "bug", "expected_problem"),
     [
         (
-            book,
+            request_registry,
             "outcome_of",
-            lambda fault: AttemptOutcome.NO_CONNECTION,
+            lambda failure: AttemptOutcome.NO_CONNECTION,
             "a load was sent twice|refused what may have run",
         ),
-        (RequestAdmission, "disconnect", lambda self, ticket: None, "who has left|not owed"),
+        (RequestAdmission, "disconnect", lambda self, request: None, "who has left|not owed"),
         (ClientConnection, "_interrupt", lambda self, seqid: None, "an answer too many|not owed"),
         (
             EndpointRegistry,
@@ -418,7 +429,9 @@
     ],
     ids=["never-run", "leave", "interrupt", "drain", "close", "end", "idle"],
 )
-def test_crossings_find_bug_when_seeded_in_the_broker(monkeypatch, where, name, bug, told):
+def test_crossings_find_bug_when_seeded_in_the_broker(
+    monkeypatch, where, name, bug, expected_problem
+):
     monkeypatch.setattr(where, name, bug)
-    with pytest.raises(Exception, match=told):  # of hypothesis, or of the check itself
+    with pytest.raises(Exception, match=expected_problem):  # raised by hypothesis or by a check
         run_state_machine_as_test(Crossings, settings=settings(SETTINGS, phases=[Phase.generate]))
--- a/tests/upstream/test_retry_budget.py
+++ b/tests/upstream/test_retry_budget.py
@@ -1,4 +1,8 @@
-"""The retry budget at the sockets, by a count of the engines' side that knows no module."""
+"""The retry budget of a running broker, checked by counting requests at the engines' sockets.
+
+Guards against retries beyond the budget: calls that no engine serves, or that clients cancel, must
+not raise it. The count uses none of the broker's own code.
+"""
 
 from __future__ import annotations
 
@@ -12,52 +16,55 @@
 from tests.rig import Peer, Rig
 from tests.thrift_messages import execute
 
-FREE, SHARE, WINDOW_MS = 1, 0.1, 2_000.0
+RETRY_FLOOR, RETRY_RATIO, WINDOW_MS = 1, 0.1, 2_000.0
 
 
-REQ = re.compile(rb"REQ (\w+) \S+ (\d+)\r\n")
+REQUEST_LINE = re.compile(rb"REQ (\w+) \S+ (\d+)\r\n")
 
 
 class Play:
-    """Clients, some of them bad, and engines that serve no bad client; counts what reaches an
-    engine."""
+    """Clients and engines; counts the requests that reach an engine.
+
+    Engines answer every request of a failing client with an error.
+    """
 
     def __init__(self, engines: int = 4) -> None:
         self.rig = Rig(engines)
         rules = self.rig.broker.balancer.settings.rules
         rules.retry_budget_floor, rules.retry_budget_ratio, rules.retry_budget_window_ms = (
-            FREE,
-            SHARE,
+            RETRY_FLOOR,
+            RETRY_RATIO,
             WINDOW_MS,
         )
         self.names = [f"s-{number}" for number in range(engines)]
         self.engines: list[Peer] = []
-        self.earnest: dict[str, float] = {}  # requests of the usual clients, with when they came
-        self.reached: set[str] = set()
-        self.extras: list[float] = []
-        self.faults = 0  # of the usual clients' next attempts, that end with an error
-        self.bad = self.seqid = 0
+        self.earnest: dict[str, float] = {}  # requests of regular clients, with when they were sent
+        self.reached_ids: set[str] = set()
+        self.retry_times_ms: list[float] = []
+        self.faults = 0  # so many of the next attempts for regular clients end with an error
+        self.failing_calls = self.seqid = 0
         self.over: list[tuple[int, int]] = []
 
     @property
     def now_ms(self) -> float:
         return self.rig.now * 1000.0
 
-    def since(self, times) -> int:
+    def count_in_window(self, times) -> int:
         return sum(self.now_ms - WINDOW_MS <= at <= self.now_ms for at in times)
 
     def pump(self) -> None:
-        """Let all that is under way arrive, be counted and be answered."""
-        quiet = 0
-        while quiet < 3:
+        """Step until everything sent has arrived, is counted and is answered."""
+        idle_steps = 0
+        while idle_steps < 3:
             self.rig.step(0)
-            quiet = (
+            idle_steps = (
                 0
-                if self._accept() + sum(self._engine(each) for each in self.engines)
-                else quiet + 1
+                if self._accept_connections()
+                + sum(self._serve_engine(each) for each in self.engines)
+                else idle_steps + 1
             )
 
-    def _accept(self) -> int:
+    def _accept_connections(self) -> int:
         before = len(self.engines)
         for name in self.names:
             try:
@@ -66,28 +73,31 @@
                 pass
         return len(self.engines) - before
 
-    def _engine(self, engine: Peer) -> int:
+    def _serve_engine(self, engine: Peer) -> int:
         count = 0
         engine.read()
-        while (found := REQ.search(engine.got)) and len(engine.got) >= found.end() + int(
+        while (found := REQUEST_LINE.search(engine.got)) and len(engine.got) >= found.end() + int(
             found[2]
         ) + 2:
             statement = engine.got[found.end() : found.end() + int(found[2])]
             engine.got = engine.got[found.end() + int(found[2]) + 2 :]
             count += 1
-            self._run(engine, found[1].decode(), b"bad" in statement)
+            self._answer(engine, found[1].decode(), b"bad" in statement)
         return count
 
-    def _run(self, engine: Peer, rid: str, bad: bool) -> None:
-        fault = bad or self.faults > 0
-        if not bad:
+    def _answer(self, engine: Peer, rid: str, failing: bool) -> None:
+        fault = failing or self.faults > 0
+        if not failing:
             self.faults = max(self.faults - 1, 0)
-            if rid in self.reached:
-                self.extras.append(self.now_ms)
-                extras, taken = self.since(self.extras), self.since(self.earnest.values())
-                if extras > FREE + SHARE * taken + 1e-9:
-                    self.over.append((extras, taken))
-            self.reached.add(rid)
+            if rid in self.reached_ids:
+                self.retry_times_ms.append(self.now_ms)
+                retries, admitted = (
+                    self.count_in_window(self.retry_times_ms),
+                    self.count_in_window(self.earnest.values()),
+                )
+                if retries > RETRY_FLOOR + RETRY_RATIO * admitted + 1e-9:
+                    self.over.append((retries, admitted))
+            self.reached_ids.add(rid)
         answer = f"{rid} FAULT - 0\r\n\r\n" if fault else f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n"
         self.write(engine, answer.encode())
 
@@ -104,43 +114,43 @@
         try:
             peer.sock.send(data)
         except OSError:
-            pass  # the broker has closed it
+            pass  # the broker has closed the connection
 
     def ask(self, client: Peer) -> tuple[str, int]:
-        """A usual client's request."""
+        """Send a request of a regular client."""
         rid = f"{len(self.earnest) + 1:016x}"
         self.earnest[rid] = self.now_ms
         return rid, self.call(client, rid, b"select * from park_1.sites")
 
-    def served(self, client: Peer, count: int) -> None:
-        """So many requests of a usual client, one after the other; served unless engines fail."""
+    def send_one_by_one(self, client: Peer, count: int) -> None:
+        """Send requests of a regular client, each after the answer to the one before."""
         for _ in range(count):
             self.ask(client)
             self.pump()
 
-    def flood(self, count: int, way: str, rid: str = "") -> None:
-        """A bad client's calls; in the end it takes them back, closes, or stays."""
-        client, asked = self.rig.client(), []
+    def flood(self, count: int, departure: str, rid: str = "") -> None:
+        """Send calls of a failing client; it then cancels them, disconnects or stays connected."""
+        client, seqids = self.rig.client(), []
         for _ in range(count):
-            self.bad += 1
-            asked.append(
+            self.failing_calls += 1
+            seqids.append(
                 self.call(
                     client,
-                    rid or f"{self.bad:016x}".replace("0", "f", 4),
+                    rid or f"{self.failing_calls:016x}".replace("0", "f", 4),
                     b"bad from park_1.sites",
                     budget="300",
                 )
             )
-            if way == "each":  # answered before it is taken back
+            if departure == "each":  # answered before it is cancelled
                 self.pump()
-                self.write(client, interrupt(asked[-1]))
-            if way == "at once":
-                self.write(client, interrupt(asked[-1]))
+                self.write(client, interrupt(seqids[-1]))
+            if departure == "at once":
+                self.write(client, interrupt(seqids[-1]))
         self.pump()
-        if way == "late":
-            for seqid in asked:
+        if departure == "late":
+            for seqid in seqids:
                 self.write(client, interrupt(seqid))
-        if way == "close":
+        if departure == "close":
             client.sock.close()
         self.pump()
 
@@ -160,30 +170,27 @@
     made.close()
 
 
-@pytest.mark.parametrize("way", ["at once", "each", "late", "close", "stay"])
-def test_budget_is_not_widened_by_calls_that_no_engine_serves(play, way):
-    """Found with 200 gateways: calls of a bad client that were answered before it took them back
-    stayed counted."""
+@pytest.mark.parametrize("departure", ["at once", "each", "late", "close", "stay"])
+def test_budget_is_not_raised_by_calls_that_no_engine_serves(play, departure):
+    """Found with 200 gateways: calls that failed before their client cancelled them stayed counted."""
     client = play.rig.client()
-    play.served(client, 10)
-    play.flood(30, way)
-    play.wait(
-        WINDOW_MS / 4
-    )  # by then they are given up; their further attempts may have used the ration up
+    play.send_one_by_one(client, 10)
+    play.flood(30, departure)
+    # By then these calls are given up; their retries may have used up the budget.
+    play.wait(WINDOW_MS / 4)
     play.rig.broker.balancer.retry_budget.retries.clear()
     play.faults = 1_000
-    play.served(client, 8)
-    assert play.extras and not play.over
+    play.send_one_by_one(client, 8)
+    assert play.retry_times_ms and not play.over
 
 
-def test_budget_is_widened_by_a_served_client_in_step_with_that(play):
-    """And a client that breaks off, or is refused, has asked all the same: rule 7 counts what was
-    taken."""
+def test_budget_grows_with_the_admitted_requests_of_a_served_client(play):
+    """The budget counts admitted requests, also those that are cancelled or rejected later."""
     client = play.rig.client()
-    play.served(client, 20)
+    play.send_one_by_one(client, 20)
     play.faults = 1_000
-    play.served(client, 10)
-    assert len(play.extras) == int(FREE + SHARE * 30) and not play.over
+    play.send_one_by_one(client, 10)
+    assert len(play.retry_times_ms) == int(RETRY_FLOOR + RETRY_RATIO * 30) and not play.over
     assert len(play.rig.broker.balancer.retry_budget.requests) == 30
 
 
