--- a/tests/pipeline/test_contracts.py
+++ b/tests/pipeline/test_contracts.py
@@ -1,4 +1,8 @@
-"""Contracts at the sockets: who is taken, what a refusal says, the ration, upgrades, new contracts; the commands."""
+"""Contracts of a running broker: admission, rejections, retry budgets, hot restart and reload.
+
+Guards against teams that are admitted beyond their contract or at the cost of others, budgets that
+are not returned or are renewed by a restart, and commands that accept an invalid contract.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 from umberusher.teams.statement import StatementReader
 from umberusher.traces.plan import Plan
 
-SMALL = """
+SMALL_CONTRACT = """
 capacity = fleet(threads = 20, memory_mb = 100000)
 teams = [
     team("parks", share = 0.4, ration = 0.4, terms = [terms("lookup", rate = 2, burst = 2, work_ms = 50),
@@ -36,19 +40,19 @@
 """
 
 
-def a_port() -> int:
+def free_port() -> int:
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
 
 
 @pytest.fixture
-def gated(rig, tmp_path):
-    """A rig whose broker has a contract."""
+def rig_with_contract(rig, tmp_path):
+    """A function that makes a rig whose broker enforces a contract, and the contract's file."""
 
-    def make(engines: int = 1, path: str | None = None, text: str = SMALL, port: int = 0):
+    def make(engines: int = 1, path: str | None = None, text: str = SMALL_CONTRACT, port: int = 0):
         file = tmp_path / "teams.star"
-        file.write_text(text.replace("PORT", str(port or a_port())))
+        file.write_text(text.replace("PORT", str(port or free_port())))
         from tests.test_config import CONF
         from umberusher import config
 
@@ -58,7 +62,7 @@
     return make
 
 
-def asked(rig, client: Peer, number: int, team: str | None = None, **more) -> str:
+def send_request(rig, client: Peer, number: int, team: str | None = None, **more) -> str:
     rid = f"{number:016x}"
     fields = (
         {"method": "lookup", "rid": rid, "budget": "2000"} | ({"team": team} if team else {}) | more
@@ -68,49 +72,51 @@
     return rid
 
 
-def test_a_team_s_overflow_is_refused_with_its_own_wait_and_others_are_taken(gated):
-    rig, _ = gated()
+def test_team_over_its_contract_is_rejected_with_its_own_backoff_and_others_are_admitted(
+    rig_with_contract,
+):
+    rig, _ = rig_with_contract()
     client, other = rig.client(), rig.client()
     for number in (1, 2, 3):
-        asked(rig, client, number, "parks")
+        send_request(rig, client, number, "parks")
     answer = rig.answer(client)
     assert b"backoff" in answer and set(rig.broker.registry.requests) == {f"{1:016x}", f"{2:016x}"}
-    wait = int(answer.partition(b"backoff")[2][4:].partition(b"\0")[0])
-    assert 300 <= wait <= 500
-    asked(rig, other, 9, "water")
+    backoff_ms = int(answer.partition(b"backoff")[2][4:].partition(b"\0")[0])
+    assert 300 <= backoff_ms <= 500
+    send_request(rig, other, 9, "water")
     assert f"{9:016x}" in rig.broker.registry.requests
     assert rig.broker.contracts.teams.usage_of("parks").rejected == {"rate": 1}
 
 
-def test_the_end_of_a_request_settles_what_it_took(gated):
-    rig, _ = gated()
+def test_request_is_charged_for_its_work_when_it_ends(rig_with_contract):
+    rig, _ = rig_with_contract()
     client = rig.client()
-    rid = asked(rig, client, 1, "water")
+    rid = send_request(rig, client, 1, "water")
     engine = rig.accept("s-0")
     rig.expect(engine, b"REQ")
     rig.later(300)
     engine.sock.send(rid.encode() + b" HIT count=1 6\r\na\t1\t2\n\r\n")
     rig.until(lambda: not rig.broker.contracts.charges)
-    use = rig.broker.contracts.teams.usage_of("water")
+    usage = rig.broker.contracts.teams.usage_of("water")
     assert (
-        use.served == {"lookup": 1}
-        and use.work_ms == pytest.approx(300, abs=80)
-        and use.value == 1.0
+        usage.served == {"lookup": 1}
+        and usage.work_ms == pytest.approx(300, abs=80)
+        and usage.value == 1.0
     )
     assert not rig.broker.contracts.teams.threads
 
 
-@pytest.mark.parametrize("how", ["left", "refused", "deadline"])
-def test_whatever_ends_a_request_gives_its_share_back(gated, how):
-    rig, _ = gated()
+@pytest.mark.parametrize("cause", ["left", "refused", "deadline"])
+def test_threads_of_a_request_are_released_whatever_ends_it(rig_with_contract, cause):
+    rig, _ = rig_with_contract()
     client = rig.client()
-    asked(rig, client, 1, "water")
+    send_request(rig, client, 1, "water")
     engine = rig.accept("s-0")
     rig.expect(engine, b"REQ")
-    if how == "left":
+    if cause == "left":
         client.sock.close()
         rig.peers.remove(client)
-    elif how == "refused":
+    elif cause == "refused":
         engine.sock.send(f"{1:016x} SHED -\r\n".encode())
     rig.later(2_300)
     rig.until(lambda: not rig.broker.contracts.charges)
@@ -119,18 +125,20 @@
     ).own == {"lookup": 1}
 
 
-def test_strangers_and_those_who_speak_for_another_get_one_failed_answer(gated):
-    port = a_port()
-    rig, _ = gated(port=port)
+def test_unidentified_callers_and_those_that_name_another_team_get_one_failed_answer(
+    rig_with_contract,
+):
+    port = free_port()
+    rig, _ = rig_with_contract(port=port)
     client = rig.client()
     for number, team in ((1, None), (2, "fire")):
-        asked(rig, client, number, team)
+        send_request(rig, client, number, team)
         assert b"team" in rig.answer(client)
-    docked = socket.create_connection(("127.0.0.1", port))
-    peer = rig.keep(Peer(docked))
-    asked(rig, peer, 3, "parks")
+    sock = socket.create_connection(("127.0.0.1", port))
+    peer = rig.keep(Peer(sock))
+    send_request(rig, peer, 3, "parks")
     assert b"speaks for another" in rig.answer(peer)
-    asked(rig, peer, 4)
+    send_request(rig, peer, 4)
     assert (
         f"{4:016x}" in rig.broker.registry.requests
         and rig.broker.contracts.charges[f"{4:016x}"].team.name == "dock"
@@ -138,14 +146,14 @@
     assert rig.broker.contracts.unidentified == {"NOBODY": 1, "UNKNOWN": 1, "ANOTHER": 1}
 
 
-def test_the_module_asks_for_the_team_s_ration_before_a_further_attempt(gated):
-    rig, _ = gated(3)
+def test_decisions_check_the_team_retry_budget_before_a_retry(rig_with_contract):
+    rig, _ = rig_with_contract(3)
     client, granted = rig.client(), []
-    rig.broker.contracts.teams.retry_budgets.floor = 0.0  # nothing for anyone
+    rig.broker.contracts.teams.retry_budgets.floor = 0.0  # no retry for any team
     eligibility = rig.broker.balancer.eligibility
-    ration = eligibility.team_retry_budget
-    eligibility.team_retry_budget = lambda rid: granted.append(ration(rid)) or granted[-1]
-    rid = asked(rig, client, 1, "water")
+    may_retry = eligibility.team_retry_budget
+    eligibility.team_retry_budget = lambda rid: granted.append(may_retry(rid)) or granted[-1]
+    rid = send_request(rig, client, 1, "water")
     engine = (
         rig.accept("s-0")
         if rig.broker.registry.requests[rid].attempt.engine == "s-0"
@@ -163,26 +171,26 @@
     assert rig.broker.contracts.teams.usage_of("water").retries == {"own": 1}
 
 
-def test_two_teams_with_one_key_of_a_load_keep_its_order(gated):
-    rig, _ = gated(2)
+def test_loads_with_the_same_key_from_two_teams_run_in_order(rig_with_contract):
+    rig, _ = rig_with_contract(2)
     client, other = rig.client(), rig.client()
-    first = asked(rig, client, 1, "parks", method="load", obj="k", budget="20000")
-    second = asked(rig, other, 2, "water", method="load", obj="k", budget="20000")
+    first = send_request(rig, client, 1, "parks", method="load", obj="k", budget="20000")
+    second = send_request(rig, other, 2, "water", method="load", obj="k", budget="20000")
     rig.later(100)
-    tickets = rig.broker.registry.requests
-    assert tickets[first].attempt and tickets[second].attempt is None
-    engine = rig.accept(tickets[first].attempt.engine)
+    requests = rig.broker.registry.requests
+    assert requests[first].attempt and requests[second].attempt is None
+    engine = rig.accept(requests[first].attempt.engine)
     rig.expect(engine, b"REQ")
     engine.sock.send(first.encode() + b" HIT count=1 6\r\na\t1\t2\n\r\n")
-    rig.until(lambda: tickets[second].attempt)
+    rig.until(lambda: requests[second].attempt)
 
 
-def test_a_new_contract_is_taken_whole_or_not_at_all_and_what_is_open_ends_by_the_old_one(
-    gated, caplog
+def test_new_contract_applies_whole_or_not_at_all_and_open_requests_end_under_the_old_one(
+    rig_with_contract, caplog
 ):
-    rig, file = gated()
+    rig, file = rig_with_contract()
     client = rig.client()
-    rid = asked(rig, client, 1, "water")
+    rid = send_request(rig, client, 1, "water")
     old = rig.broker.contracts.teams.contract
     file.write_text(file.read_text().replace("share = 0.4", "share = 40", 1))
     rig.broker.request_reload()
@@ -207,33 +215,32 @@
     assert rig.broker.contracts.teams.threads == 0
 
 
-def test_an_upgrade_is_no_way_to_a_fresh_budget(gated, tmp_path):
-    rig, _ = gated(1, str(tmp_path / "s"))
+def test_hot_restart_does_not_renew_team_budgets(rig_with_contract, tmp_path):
+    rig, _ = rig_with_contract(1, str(tmp_path / "s"))
     client = rig.client()
     for number in (1, 2, 3):
-        asked(rig, client, number, "parks")
+        send_request(rig, client, number, "parks")
     new = rig.successor()
-    asked(
-        rig, client, 4, "parks", method="load", obj="k"
-    )  # taken by the old one after the greeting
+    # The predecessor admits this request after the successor has connected to it.
+    send_request(rig, client, 4, "parks", method="load", obj="k")
     rig.later(1000 * readiness.MAX_DISCOVERY_WAIT_S + 300)
     rig.until(lambda: rig.broker.frontend.paused)
     rig.later(100)
-    mine, theirs = rig.broker.contracts.teams, new.contracts.teams
-    now, then = rig.broker.now_ms(), new.now_ms()
-    team = mine.contract.teams["parks"]
-    assert "parks" in mine.states
+    old_teams, new_teams = rig.broker.contracts.teams, new.contracts.teams
+    old_now_ms, new_now_ms = rig.broker.now_ms(), new.now_ms()
+    team = old_teams.contract.teams["parks"]
+    assert "parks" in old_teams.states
     levels = [
-        house.states["parks"].work_budget.level(at, *house.work_limit(team))
-        if "parks" in house.states
+        teams.states["parks"].work_budget.level(now_ms, *teams.work_limit(team))
+        if "parks" in teams.states
         else team.work_burst
-        for house, at in ((mine, now), (theirs, then))
+        for teams, now_ms in ((old_teams, old_now_ms), (new_teams, new_now_ms))
     ]
     assert levels[1] <= levels[0] + 1.0
-    assert theirs.retry_budgets.active["parks"].counts.requests == 3
+    assert new_teams.retry_budgets.active["parks"].counts.requests == 3
 
 
-def test_a_broker_without_a_contract_imports_nothing_of_it():
+def test_broker_without_a_contract_imports_no_contract_module():
     code = (
         "import sys; from umberusher.commands import serve; import umberusher.broker.broker; "
         "print([name for name in sys.modules if 'teams' in name or 'starlark' in name or 'gate' in name "
@@ -243,16 +250,16 @@
     assert made.stdout.strip() == "[]", made.stdout + made.stderr
 
 
-def test_the_door_tells_each_team_s_figures_with_bounded_labels(gated):
-    rig, _ = gated()
+def test_metrics_have_a_limited_number_of_team_labels(rig_with_contract):
+    rig, _ = rig_with_contract()
     client = rig.client()
     for number in range(1, 5):
-        asked(rig, client, number, "parks")
+        send_request(rig, client, number, "parks")
     rig.broker.contracts.teams.usage |= {
         f"t{n}": type(rig.broker.contracts.teams.usage_of("parks"))() for n in range(200)
     }
-    for use in rig.broker.contracts.teams.usage.values():
-        use.own["lookup"] += 1
+    for usage in rig.broker.contracts.teams.usage.values():
+        usage.own["lookup"] += 1
     families = {
         each.name: each
         for each in text_string_to_metric_families(rig.broker.admin_backend.metrics_text())
@@ -265,7 +272,7 @@
 # -- The commands
 
 
-def test_serve_refuses_a_bad_contract_with_exit_2_and_a_line_each(tmp_path):
+def test_serve_rejects_an_invalid_contract_with_exit_2_and_one_line_per_defect(tmp_path):
     from tests.test_config import CONF
 
     conf, file = tmp_path / "c.json", tmp_path / "teams.star"
@@ -281,12 +288,12 @@
     assert made.returncode == 2 and "teams.star:7: water: share" in made.stderr
 
 
-def test_a_broker_with_a_contract_tells_statements_in_its_structured_log(tmp_path):
+def test_broker_with_a_contract_writes_a_structured_log(tmp_path):
     from tests.test_config import CONF
 
-    conf, file, port = tmp_path / "c.json", tmp_path / "teams.star", a_port()
+    conf, file, port = tmp_path / "c.json", tmp_path / "teams.star", free_port()
     conf.write_text(json.dumps(CONF | {"listen": f"127.0.0.1:{port}"}))
-    file.write_text(SMALL.replace("PORT", str(a_port())))
+    file.write_text(SMALL_CONTRACT.replace("PORT", str(free_port())))
     child = subprocess.Popen(
         [
             sys.executable,
@@ -308,18 +315,20 @@
         line = json.loads(first)
         assert "broker_listening" in line["event"] and line["level"] == "info"
         child.send_signal(signal.SIGTERM)
-        rest = child.communicate(timeout=10)[0:2][1]
-        assert all(json.loads(each) for each in rest.splitlines()) and child.returncode == 0
+        remaining_log = child.communicate(timeout=10)[0:2][1]
+        assert (
+            all(json.loads(each) for each in remaining_log.splitlines()) and child.returncode == 0
+        )
     finally:
         child.kill()
 
 
-def told(team: str, at: int, **more) -> str:
+def statement_line(team: str, unix_ms: int, **more) -> str:
     return json.dumps(
         {
             "event": "team",
             "team": team,
-            "unix_ms": at,
+            "unix_ms": unix_ms,
             "own": {"lookup": 5},
             "borrowed": {},
             "refused": {},
@@ -335,19 +344,22 @@
     )
 
 
-def test_a_statement_adds_up_over_brokers_and_over_starts(tmp_path):
+def test_statement_sums_counts_over_brokers_and_restarts(tmp_path):
     reader = StatementReader()
     reader.read(
         "a.log",
         [
             "noise",
-            told("parks", 1_000),
-            told("parks", 11_000, work_ms=900, own={"lookup": 9}),
-            told("parks", 21_000, work_ms=100, own={"lookup": 1}),
+            statement_line("parks", 1_000),
+            statement_line("parks", 11_000, work_ms=900, own={"lookup": 9}),
+            statement_line("parks", 21_000, work_ms=100, own={"lookup": 1}),
             '{"event": "team", "team": "x"',
         ],
     )
-    reader.read("b.log", [told("parks", 21_000, refused={"rate": 3}), told("gone", 5_000)])
+    reader.read(
+        "b.log",
+        [statement_line("parks", 21_000, refused={"rate": 3}), statement_line("gone", 5_000)],
+    )
     file = tmp_path / "teams.star"
     file.write_text(CONTRACT_SCRIPT)
     found = reader.document(load_contract(str(file)))
@@ -362,7 +374,7 @@
     assert parks["promised_work_s"] == 8.6 * 20
 
 
-def a_plan(count: int, every_ms: float, work: float = 100.0) -> Plan:
+def make_plan(count: int, every_ms: float, work: float = 100.0) -> Plan:
     plan = Plan(("lookup",))
     for number in range(count):
         for name, value in (
@@ -378,11 +390,11 @@
     return plan
 
 
-def test_plans_are_merged_by_time_and_taken_apart_again():
-    plans = {"a": a_plan(5, 100.0), "b": a_plan(9, 50.0, 7.0)}
+def test_plans_are_merged_by_time_and_split_by_team_again():
+    plans = {"a": make_plan(5, 100.0), "b": make_plan(9, 50.0, 7.0)}
     merged = merge(plans)
-    whole = merged.plan
-    assert list(whole.columns["at_us"]) == sorted(
+    merged_plan = merged.plan
+    assert list(merged_plan.columns["at_us"]) == sorted(
         [*plans["a"].columns["at_us"], *plans["b"].columns["at_us"]]
     )
     for team, plan in plans.items():
@@ -390,12 +402,12 @@
     assert len(with_surge(plans["a"], 10, 0.1, 0.3)) == 5 + 2 * 9
 
 
-def test_a_contract_is_simulated_and_the_commands_run(tmp_path):
+def test_contract_commands_simulate_check_show_compare_and_report(tmp_path):
     file = tmp_path / "teams.star"
     file.write_text(CONTRACT_SCRIPT)
     found = simulate(
         load_contract(str(file)),
-        {"parks": a_plan(2_000, 2.0), "water": a_plan(200, 50.0, 50.0)},
+        {"parks": make_plan(2_000, 2.0), "water": make_plan(200, 50.0, 50.0)},
         2,
     )
     assert found["water"]["own"] == 200 and found["parks"]["borrowed"] > 0
@@ -403,9 +415,9 @@
         found["parks"]["own"] + found["parks"]["borrowed"] + sum(found["parks"]["refused"].values())
         == 2_000
     )
-    a_plan(50, 20.0).save(str(tmp_path / "p"))
+    make_plan(50, 20.0).save(str(tmp_path / "p"))
     (tmp_path / "b.log").write_text(
-        told("parks", 1_000) + "\n" + told("parks", 9_000, work_ms=900) + "\n"
+        statement_line("parks", 1_000) + "\n" + statement_line("parks", 9_000, work_ms=900) + "\n"
     )
     other = tmp_path / "other.star"
     other.write_text(CONTRACT_SCRIPT.replace("rate = 30", "rate = 20"))
@@ -433,7 +445,7 @@
     assert b"<svg" in (tmp_path / "s.svg").read_bytes()
 
 
-def test_a_module_without_a_ration_decides_as_before():
+def test_decisions_without_a_team_retry_budget_are_unchanged():
     from umberusher.decisions.balancer import LoadBalancer
 
     settings = Settings((QueryClass("lookup", 500.0, 2_500.0, 1.0, Idempotency.IDEMPOTENT),))
