--- a/tests/upstream/life_player.py
+++ b/tests/upstream/life_player.py
@@ -1,6 +1,7 @@
 """Plays a trace of the model of one request against a real broker, on sockets and a fake clock.
 
-Used by tests/upstream/test_request_life.py up to a small depth and by scripts/explore_life.py beyond it.
+Used by tests/upstream/test_request_life.py up to a small depth, and by scripts/explore_life.py
+beyond it.
 """
 
 from __future__ import annotations
--- a/tests/upstream/test_attempts.py
+++ b/tests/upstream/test_attempts.py
@@ -217,9 +217,9 @@
 
 
 def test_engine_connection_ignores_late_reply_when_next_attempt_is_out(rig):
-    """An engine rejects a request, gets it again, then sends a late second reply to the first attempt.
+    """An engine rejects a request, gets it again, then replies a second time to the first attempt.
 
-    That reply used to end the new attempt.
+    That late reply used to end the new attempt.
     """
     rig = rig()
     client, rid, engine = rig.begun()
--- a/tests/upstream/test_random_crossings.py
+++ b/tests/upstream/test_random_crossings.py
@@ -1,4 +1,4 @@
-"""Random event orders from clients, engines, discovery and signals, on real sockets and a fake clock.
+"""Random orders of client, engine, discovery and signal events, on sockets and a fake clock.
 
 Guards against races between events that cross. The state machine simulates everyone but the broker
 and checks after each step: one answer for each call that must get one, one attempt in flight, no
--- a/tests/upstream/test_retry_budget.py
+++ b/tests/upstream/test_retry_budget.py
@@ -172,7 +172,10 @@
 
 @pytest.mark.parametrize("departure", ["at once", "each", "late", "close", "stay"])
 def test_budget_is_not_raised_by_calls_that_no_engine_serves(play, departure):
-    """Found with 200 gateways: calls that failed before their client cancelled them stayed counted."""
+    """Calls that failed before their client cancelled them used to stay counted.
+
+    Found with 200 gateways.
+    """
     client = play.rig.client()
     play.send_one_by_one(client, 10)
     play.flood(30, departure)
--- a/umberusher/upstream/connection_pool.py
+++ b/umberusher/upstream/connection_pool.py
@@ -170,7 +170,7 @@
         ]
 
     def sweep(self) -> None:
-        """Close idle and stalled connections, and idle ones that accept no new requests."""
+        """Close stalled connections, and idle ones that will not be used again."""
         self.close_idle()
         now_ms = self._context.now_ms()
         for each in self._all_connections():
--- a/umberusher/upstream/context.py
+++ b/umberusher/upstream/context.py
@@ -23,7 +23,7 @@
         cancellation: Engines stop running queries on a cancel command.
         receipts: A ping is written after each request; its answer proves that the engine has read
             both.
-        health_checks: Engines accept commands that are not about a query: health checks and pings.
+        health_checks: Commands that are not about a query may be sent: health checks and pings.
     """
 
     max_attempts_per_connection: int
