--- a/umberusher/pipeline/contract_metrics.py
+++ b/umberusher/pipeline/contract_metrics.py
@@ -8,7 +8,7 @@
 from umberusher.admin.metrics import COUNTER, GAUGE, MetricFamily, Sample
 from umberusher.teams.admission import TeamAdmission
 
-# Teams with labels of their own; the others are summed up.
+# Teams beyond this number share one label, which bounds the number of series.
 MAX_LABELLED_TEAMS = 64
 OTHERS_LABEL = "others"
 
@@ -19,7 +19,7 @@
     ("retries", "right", "Further attempts, by right."),
     ("work_ms", None, "Milliseconds of one thread used."),
 )
-"""The counters: the name's ending, the label beside the team's, the help text."""
+"""The counters: the suffix of the name, the label beside the team's, the help text."""
 
 _Key = tuple[str, str]
 """A team's label, and the value of the other label."""
@@ -32,17 +32,17 @@
 
     Args:
         teams: The state of the teams.
-        unidentified: Calls that were of no team, by reason.
+        unidentified: Calls that belong to no team, by reason.
         now_ms: The time now.
     """
     counts: dict[str, Counter[_Key]] = {name: Counter() for name, _, _ in _COUNTERS}
     debts: Counter[str] = Counter()
     for number, (name, usage) in enumerate(teams.usage.items()):
         team = name if number < MAX_LABELLED_TEAMS else OTHERS_LABEL
-        _add(counts["taken"], team, usage.own)
-        _add(counts["borrowed"], team, usage.borrowed)
-        _add(counts["refused"], team, usage.rejected)
-        _add(counts["retries"], team, usage.retries)
+        _add_counts(counts["taken"], team, usage.own)
+        _add_counts(counts["borrowed"], team, usage.borrowed)
+        _add_counts(counts["refused"], team, usage.rejected)
+        _add_counts(counts["retries"], team, usage.retries)
         if usage.retries_denied:
             counts["retries"][team, "denied"] += usage.retries_denied
         counts["work_ms"][team, ""] += round(usage.work_ms)
@@ -57,14 +57,14 @@
         help_text = "Milliseconds of one thread owed."
         families.append(MetricFamily("svc_team_debt_ms", GAUGE, help_text, samples))
     if unidentified:
-        samples = [Sample({"why": why.lower()}, count) for why, count in unidentified.items()]
+        samples = [Sample({"why": reason.lower()}, count) for reason, count in unidentified.items()]
         help_text = "Calls of no team, by why."
         families.append(MetricFamily("svc_team_strangers_total", COUNTER, help_text, samples))
     return families
 
 
-def _add(counts: Counter[_Key], team: str, more: Mapping[str, int]) -> None:
-    for key, value in more.items():
+def _add_counts(counts: Counter[_Key], team: str, added: Mapping[str, int]) -> None:
+    for key, value in added.items():
         counts[team, key] += value
 
 
--- a/umberusher/pipeline/contracts.py
+++ b/umberusher/pipeline/contracts.py
@@ -1,6 +1,6 @@
-"""Enforces the teams' contracts: identifies a call's team, admits it, and settles what it used.
+"""Enforces the teams' contracts: identifies a call's team, admits it, and charges what it used.
 
-Made only where a contract is named; a broker without one imports nothing of this.
+A broker without a contract doesn't import this module.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
 log = logging.getLogger(__name__)
 
-# Between two statements in the structured log.
+# Between two records of each team's usage in the structured log.
 STATEMENT_INTERVAL_MS = 10_000.0
 
-# Where the settings state none.
+# Applies where the settings state none.
 DEFAULT_RETRY_BUDGET = RetryBudgetTerms(floor=5.0, ratio=0.1, window_ms=10_000.0)
 
 
@@ -47,19 +47,19 @@
 
     Attributes:
         contract: The contract as it was read, with its holidays.
-        teams: The state of the teams, by the terms of today.
-        charges: The open requests' charges, by request.
-        unidentified: Calls that are of no team, by reason.
+        teams: The state of the teams, under the terms of today.
+        charges: The charges of open requests, by request.
+        unidentified: Calls that belong to no team, by reason.
     """
 
     __slots__ = (
-        "_day",
         "_emit_event",
         "_handover",
+        "_last_statement_ms",
         "_load_contract",
         "_now_ms",
-        "_statement_ms",
-        "_threads",
+        "_terms_day",
+        "_threads_by_class",
         "_unix_ms",
         "charges",
         "contract",
@@ -78,29 +78,32 @@
     ) -> None:
         """Start with full budgets.
 
-        Args: contract: The contract. settings: The settings, for classes' threads, the retry budget
-            and the number of brokers. now_ms: Returns the time of the broker's timeline. unix_ms:
-            Returns the Unix time, for the day and for statements. load_contract: Reads the
-            contract's file again; raises ContractError. emit_event: Writes a structured event,
-            given its kind and its fields.
+        Args:
+            contract: The contract.
+            settings: The settings, for the classes' threads, the retry budget and the number of
+                brokers.
+            now_ms: Returns the time of the broker's timeline.
+            unix_ms: Returns the Unix time, for the day and for statements.
+            load_contract: Reads the contract's file again; raises ContractError.
+            emit_event: Writes a structured event, given its kind and its fields.
         """
         self.contract = contract
         self._now_ms = now_ms
         self._unix_ms = unix_ms
         self._load_contract = load_contract
         self._emit_event = emit_event
-        self._day = self._today()
+        self._terms_day = self._today()
         self.teams = TeamAdmission(
-            contract.on(self._day),
+            contract.on(self._terms_day),
             settings.broker_count or 1,
             now_ms(),
             _retry_budget_terms(settings.rules),
         )
         self._handover = TeamHandover(self.teams)
-        self._threads = {each.name: max(each.threads, 1.0) for each in settings.classes}
+        self._threads_by_class = {each.name: max(each.threads, 1.0) for each in settings.classes}
         self.unidentified: Counter[str] = Counter()
         self.charges: dict[str, Charge] = {}
-        self._statement_ms = now_ms()
+        self._last_statement_ms = now_ms()
 
     def _today(self) -> date:
         return datetime.fromtimestamp(self._unix_ms() / 1000.0, UTC).date()
@@ -109,14 +112,15 @@
 
     @staticmethod
     def origin(port: int) -> Origin:
-        """Return the origin of a connection that came to a port."""
+        """Return the origin of a connection that was accepted on a port."""
         return Origin(port)
 
     def admit(self, request: Request) -> Rejection | None:
         """Admit a request, or return its rejection.
 
-        Raises: NotCoveredError: The request is of no team, or of a class that its team's contract
-            does not have.
+        Raises:
+            NotCoveredError: The request belongs to no team, or to a class that its team's contract
+                does not have.
         """
         try:
             team = identify_team(
@@ -131,7 +135,7 @@
             team,
             arrival.query_class,
             estimate=arrival.work_ms,
-            threads=self._threads.get(arrival.query_class, 1.0),
+            threads=self._threads_by_class.get(arrival.query_class, 1.0),
             memory_mb=arrival.memory_mb,
             client_retry=arrival.is_retry,
         )
@@ -143,7 +147,7 @@
         return admitted
 
     def request_done(self, request: Request, succeeded: bool) -> None:
-        """Settle a request that is owed no answer and has no attempt in flight."""
+        """Charge a closed request, with no attempt in flight, for what it used."""
         charge = self.charges.pop(request.request_id, None)
         if charge is not None:
             used_ms = request.engine_thread_ms if request.may_have_run else None
@@ -152,12 +156,12 @@
     # -- Retries
 
     def may_retry(self, request_id: str) -> bool:
-        """Return whether the retry budget of the request's team has a retry."""
+        """Return whether the retry budget of the request's team allows a retry."""
         charge = self.charges.get(request_id)
         return charge is None or self.teams.may_retry(self._now_ms(), charge)
 
     def count_retry(self, request_id: str) -> None:
-        """Count a retry that is made."""
+        """Charge a retry to the team's retry budget."""
         charge = self.charges.get(request_id)
         if charge is not None:
             self.teams.count_retry(self._now_ms(), charge.team.name)
@@ -165,24 +169,24 @@
     # -- Time and new contracts
 
     def sweep(self) -> None:
-        """Apply the terms of a new day; emit the statements when they are due."""
+        """Apply the terms of a new day, and emit the statements when they are due."""
         today = self._today()
-        if today != self._day:
-            self._day = today
+        if today != self._terms_day:
+            self._terms_day = today
             self.teams.change_contract(self._now_ms(), self.contract.on(today))
-        is_due = self._now_ms() - self._statement_ms >= STATEMENT_INTERVAL_MS
+        is_due = self._now_ms() - self._last_statement_ms >= STATEMENT_INTERVAL_MS
         if self._emit_event is not None and is_due:
             self._emit_statements(self._emit_event)
 
     def _emit_statements(self, emit_event: Callable[[str, Mapping[str, object]], None]) -> None:
         """Emit each team's counts since the start."""
-        self._statement_ms = self._now_ms()
+        self._last_statement_ms = self._now_ms()
         for name, usage in self.teams.usage.items():
             fields = {"team": name, "unix_ms": round(self._unix_ms())}
             emit_event("team", fields | usage.event_fields())
 
     def reload(self) -> None:
-        """Read the contract's file again; keep the contract of before where it can't be used."""
+        """Read the contract's file again; keep the present contract if the new one is invalid."""
         if self._load_contract is None:
             return
         try:
@@ -192,8 +196,8 @@
                 log.error("contract_kept new one can't be used: %s", line)
             return
         self.contract = contract
-        self._day = self._today()
-        self.teams.change_contract(self._now_ms(), contract.on(self._day))
+        self._terms_day = self._today()
+        self.teams.change_contract(self._now_ms(), contract.on(self._terms_day))
         log.info("contract_reloaded teams=%d", len(contract.teams))
 
     def metric_families(self) -> list[MetricFamily]:
@@ -207,13 +211,13 @@
         return self._handover.export_state(self._now_ms())
 
     def export_later_counts(self) -> dict[str, Any]:
-        """Return what was counted since then, for a successor that accepts from now on."""
+        """Return the counts since the export, for a successor that accepts calls from now on."""
         return self._handover.export_later_counts()
 
     def restore_state(self, state: Mapping[str, Any]) -> None:
-        """Take either message of the process before.
+        """Restore the state, or add the later counts, that the predecessor sent.
 
-        What can't be read is ignored, and budgets start full.
+        A message that can't be read is ignored, and budgets then start full.
         """
         try:
             if "later" in state:
