--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -222,10 +222,10 @@
     bench = Bench(engines=4)
     drive(bench, 50)
     drive(bench, 50, elapsed=5000.0)
-    assert bench.balancer.stalled_attempts.belief < 0.1
+    assert bench.balancer.stalled_attempts.stall_probability < 0.1
     bench = Bench(engines=4)
     drive(bench, 50)
     silent(bench)
-    assert bench.balancer.stalled_attempts.belief > 0.3
+    assert bench.balancer.stalled_attempts.stall_probability > 0.3
     drive(bench, 2000)
-    assert bench.balancer.stalled_attempts.belief < 0.1
+    assert bench.balancer.stalled_attempts.stall_probability < 0.1
--- a/tests/decisions/test_tenant_quotas.py
+++ b/tests/decisions/test_tenant_quotas.py
@@ -34,5 +34,5 @@
     now_ms = 1000.0
     for _ in range(10):
         now_ms += 10_000.0
-        found.append(balancer.quotas.weigh("big", now_ms))
-    assert found == [1.0] * 10 and balancer.quotas.weigh("big", now_ms) == 0.1
+        found.append(balancer.quotas.consume("big", now_ms))
+    assert found == [1.0] * 10 and balancer.quotas.consume("big", now_ms) == 0.1
--- a/umberusher/decisions/attempt_outcomes.py
+++ b/umberusher/decisions/attempt_outcomes.py
@@ -69,7 +69,7 @@
                 # It may still run: the key's next request would overtake it.
                 self._key_order.cool_down(request, now_ms)
         self._stalled_attempts.observe_end(attempt, event)
-        self._learn(request, attempt, event, now_ms)
+        self._update_estimates(request, attempt, event, now_ms)
         if event.report:
             self.observe_report(attempt.engine, event.report, now_ms)
         if event.request_closed:
@@ -87,7 +87,7 @@
             below_mean_load = threads / engine.cores < self._loads.mean_load
             self._control_sets.credit_sends(engine, below_mean_load)
 
-    def _learn(
+    def _update_estimates(
         self, request: Request, attempt: Attempt, event: AttemptEnded, now_ms: float
     ) -> None:
         """Move selection probabilities, health and estimates by how an attempt ended."""
--- a/umberusher/decisions/balancer.py
+++ b/umberusher/decisions/balancer.py
@@ -255,7 +255,7 @@
             return
         if event.request in self.open_requests.requests:
             return
-        weight = query_class.priority_weight * self.quotas.weigh(event.tenant, now_ms)
+        weight = query_class.priority_weight * self.quotas.consume(event.tenant, now_ms)
         request = Request(event, query_class, weight, now_ms)
         self.open_requests.add(request)
         if event.retry_budget_eligible:
--- a/umberusher/decisions/concurrency_limit.py
+++ b/umberusher/decisions/concurrency_limit.py
@@ -21,9 +21,9 @@
 # What a timely attempt adds while requests are queued: about one slow in four is borne.
 INCREASE = 0.01
 # A step is taken up to this many times where a broker has few requests to learn from.
-MAX_PACE = 10.0
+MAX_STEP_FACTOR = 10.0
 # Mean gap between requests from which steps grow.
-PACE_GAP_MS = 20.0
+STEP_GAP_MS = 20.0
 # Fraction of a request's objective that its attempt may take.
 MAX_OBJECTIVE_FRACTION = 0.5
 # Short requests, and those that keep order, for whose end a whole key waits, may go above it by
@@ -88,15 +88,15 @@
 
     def observe_answer(self, request: Request, event: AttemptEnded) -> None:
         """Lower the limit after a slow attempt; raise it after a timely one while others wait."""
-        pace = 1.0
+        step_factor = 1.0
         # Only where load reports say that it is crowded: slow answers of engines that report
         # nothing or warm up move it no faster.
         if self._loads.mean_load > self.threads_per_core:
-            pace = min(max(self._arrivals.mean_gap_ms / PACE_GAP_MS, 1.0), MAX_PACE)
+            step_factor = min(max(self._arrivals.mean_gap_ms / STEP_GAP_MS, 1.0), MAX_STEP_FACTOR)
         objective_ms = self._estimates.objective_at(request) - request.arrived_at
         if max(event.elapsed_ms, MIN_ELAPSED_MS) > MAX_OBJECTIVE_FRACTION * objective_ms:
             self.threads_per_core = max(
-                self.threads_per_core * (1 - DECREASE_FRACTION * pace), MIN_LIMIT
+                self.threads_per_core * (1 - DECREASE_FRACTION * step_factor), MIN_LIMIT
             )
         elif self._queue.holds_timely_requests():
-            self.threads_per_core = min(self.threads_per_core + INCREASE * pace, MAX_LIMIT)
+            self.threads_per_core = min(self.threads_per_core + INCREASE * step_factor, MAX_LIMIT)
--- a/umberusher/decisions/engine_choice.py
+++ b/umberusher/decisions/engine_choice.py
@@ -53,14 +53,14 @@
             self._loads.survey(now_ms)
             self._outliers.update_panic(now_ms)
         candidates = self._draw(request, now_ms)
-        chance = self._rng.random
+        draw_uniform = self._rng.random
         load = self._loads.load
         threads = request.query_class.threads
         while candidates:
             # By lot between equals: of many brokers that know little, each would take the first.
             best = min(
                 candidates,
-                key=lambda engine: (load(engine, now_ms) + threads / engine.cores, chance()),
+                key=lambda engine: (load(engine, now_ms) + threads / engine.cores, draw_uniform()),
             )
             if self._health_checks.check_for(request, best, now_ms):
                 return None
@@ -75,12 +75,12 @@
 
     def _draw(self, request: Request, now_ms: float) -> list[Engine]:
         """Draw the control set of a request: every engine by its own probability."""
-        chance = self._rng.random
+        draw_uniform = self._rng.random
         fits = self.fits
         drawn = [
             engine
             for engine in self._pool.up
-            if chance() < engine.selection_probability and fits(request, engine, now_ms)
+            if draw_uniform() < engine.selection_probability and fits(request, engine, now_ms)
         ]
         if not drawn:
             drawn = self._sample(request, now_ms)
@@ -102,11 +102,11 @@
         pool = self._pool
         placed = request.query_class.zones or request.query_class.kinds
         bounded = not (request.unresolved or placed)
-        for engines, welcome_only in ((pool.subset, True), (pool.up, True), (pool.up, False)):
+        for engines, preferred_only in ((pool.subset, True), (pool.up, True), (pool.up, False)):
             count = min(len(engines), MAX_SAMPLED_ENGINES) if bounded else len(engines)
             order = self._rng.sample(engines, count)
             fitting = (
-                engine for engine in order if self.fits(request, engine, now_ms, welcome_only)
+                engine for engine in order if self.fits(request, engine, now_ms, preferred_only)
             )
             found = list(islice(fitting, SAMPLED_SET_SIZE))
             if found:
@@ -114,7 +114,7 @@
         return []
 
     def fits(
-        self, request: Request, engine: Engine, now_ms: float, welcome_only: bool = True
+        self, request: Request, engine: Engine, now_ms: float, preferred_only: bool = True
     ) -> bool:
         """Return whether an engine may be a candidate for a request.
 
@@ -122,12 +122,12 @@
             request: The request.
             engine: The engine.
             now_ms: The time.
-            welcome_only: Turn away the engine of the last attempt, too, and one that a load with
+            preferred_only: Also exclude the engine of the last attempt, and one that a load with
                 the request's group runs on.
         """
         if engine.ejected_until > now_ms and not self._outliers.panic:
             return False
-        if welcome_only:
+        if preferred_only:
             if engine is request.avoided_engine:
                 return False
             query_class = request.query_class
@@ -135,6 +135,6 @@
                 request.group
             ]:
                 return False
-        return self._eligibility.may_use(request, engine, now_ms) and self._slow_start.may_try(
+        return self._eligibility.may_use(request, engine, now_ms) and self._slow_start.may_grant(
             request, engine, now_ms
         )
--- a/umberusher/decisions/load_estimates.py
+++ b/umberusher/decisions/load_estimates.py
@@ -14,7 +14,7 @@
 # Time over which load reports are averaged into what other brokers use: one is noisy.
 REPORT_AVERAGE_MS = 1_000.0
 # Fraction of an engine's distance from the pool's mean that is believed: reports may lag unseen.
-REPORT_TRUST = 0.5
+REPORT_DEVIATION_WEIGHT = 0.5
 # Time over which an engine's last report gives way to the mean of the pool.
 REPORT_STALE_MS = 2_000.0
 # How old the means over the pool may be; reports are older than that anyway.
@@ -75,7 +75,10 @@
             mean = self._mean_of_others_warming
         else:
             mean = self._mean_of_others_warm
-        return max(mean + (reported - mean) * REPORT_TRUST * self._freshness(engine, now_ms), 0.0)
+        return max(
+            mean + (reported - mean) * REPORT_DEVIATION_WEIGHT * self._freshness(engine, now_ms),
+            0.0,
+        )
 
     def _freshness(self, engine: Engine, now_ms: float) -> float:
         """Return the weight of an engine's last report, from 1 when it comes towards 0."""
--- a/umberusher/decisions/request_review.py
+++ b/umberusher/decisions/request_review.py
@@ -23,7 +23,7 @@
 # Least fraction of weight left after the objective for which a queued request is still kept.
 MIN_LATE_WEIGHT = 0.15
 # Fraction done above which an attempt past its objective is let run.
-NEARLY_DONE = 0.5
+NEARLY_DONE_FRACTION = 0.5
 # A reviewed request is not reviewed again within this time: clocks of brokers round.
 MIN_DELAY_MS = 1.0
 
@@ -122,7 +122,7 @@
         """Cancel attempts far from done, and answer: timely requests need their threads."""
         if request.query_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return
-        if any(attempt.progress > NEARLY_DONE for attempt in request.in_flight.values()):
+        if any(attempt.progress > NEARLY_DONE_FRACTION for attempt in request.in_flight.values()):
             return
         for number in request.in_flight:
             self._actions.append(CancelAttempt(request.id, number))
--- a/umberusher/decisions/settings_reader.py
+++ b/umberusher/decisions/settings_reader.py
@@ -17,13 +17,15 @@
 )
 from umberusher.decisions.settings_schema import SettingsError, check
 
-WATCHING = "subscribe"
+SUBSCRIBE_MODE = "subscribe"
 
 
 def _pick(source: dict[str, Any], **names: str) -> dict[str, Any]:
     """Return the fields that are there, by our names for them."""
     return {
-        ours: source[theirs] for ours, theirs in names.items() if source.get(theirs) is not None
+        field_name: source[source_name]
+        for field_name, source_name in names.items()
+        if source.get(source_name) is not None
     }
 
 
@@ -122,7 +124,7 @@
         classes=classes,
         engine_kinds=kinds,
         tenants=tenants,
-        watch_endpoints=raw.get("membership_mode") == WATCHING,
+        watch_endpoints=raw.get("membership_mode") == SUBSCRIBE_MODE,
         limits=_limits(limits, domain),
         rules=_rules(raw.get("contract") or {}),
         **fields,
--- a/umberusher/decisions/settings_schema.py
+++ b/umberusher/decisions/settings_schema.py
@@ -34,7 +34,7 @@
         self.problem = problem
 
 
-class FieldForm:
+class FieldSchema:
     """What a field must be: in words, and as a test."""
 
     __slots__ = ("accepts", "description")
@@ -48,7 +48,7 @@
     return repr(str(value)[:MAX_QUOTED_CHARACTERS])
 
 
-def _number(low: float, high: float = math.inf) -> FieldForm:
+def _number(low: float, high: float = math.inf) -> FieldSchema:
     """Return the form of a finite number within bounds."""
 
     def accepts(value: object) -> bool:
@@ -59,13 +59,13 @@
             and low <= value <= high
         )
 
-    return FieldForm(f"a number {_bounds(low, high)}", accepts)
+    return FieldSchema(f"a number {_bounds(low, high)}", accepts)
 
 
-def _integer(low: float) -> FieldForm:
+def _integer(low: float) -> FieldSchema:
     """Return the form of a whole number of at least ``low``."""
     number = _number(low)
-    return FieldForm(
+    return FieldSchema(
         f"a whole number {_bounds(low, math.inf)}",
         lambda value: number.accepts(value) and value == int(value),
     )
@@ -75,26 +75,28 @@
     return f"of at least {low:g}" if high == math.inf else f"from {low:g} to {high:g}"
 
 
-def _one_of(*values: str) -> FieldForm:
+def _one_of(*values: str) -> FieldSchema:
     """Return the form of one word of several."""
-    return FieldForm(f"one of {', '.join(values)}", lambda value: value in values)
+    return FieldSchema(f"one of {', '.join(values)}", lambda value: value in values)
 
 
-def _list_of(item: FieldForm) -> FieldForm:
+def _list_of(item: FieldSchema) -> FieldSchema:
     """Return the form of a list of items of one form."""
-    return FieldForm(
+    return FieldSchema(
         f"a list, each of it {item.description}",
         lambda value: isinstance(value, list) and all(map(item.accepts, value)),
     )
 
 
-_FLAG = FieldForm("true or false", lambda value: isinstance(value, bool))
-_TEXT = FieldForm("a text that is not empty", lambda value: isinstance(value, str) and bool(value))
+_FLAG = FieldSchema("true or false", lambda value: isinstance(value, bool))
+_TEXT = FieldSchema(
+    "a text that is not empty", lambda value: isinstance(value, str) and bool(value)
+)
 _FROM_0 = _number(0)
 _FROM_0_TO_1 = _number(0, 1)
 
 # In the order in which they are checked: the first that is wrong is the one that is told.
-_FORMS: dict[str, FieldForm] = {
+_FIELD_SCHEMAS: dict[str, FieldSchema] = {
     "grades[].name": _TEXT,
     "grades[].aim_ms": _FROM_0,
     "grades[].deadline_ms": _FROM_0,
@@ -186,11 +188,11 @@
     Raises:
         SettingsFieldError: The first field that is missing or not of its form.
     """
-    for path, form in _FORMS.items():
+    for path, schema in _FIELD_SCHEMAS.items():
         for place, value in _find(raw, path.split("."), ""):
             if value is None:
                 if path in _REQUIRED:
                     raise SettingsFieldError(place, "is missing")
-            elif not form.accepts(value):
-                problem = f"must be {form.description}, not {_quoted(value)}"
+            elif not schema.accepts(value):
+                problem = f"must be {schema.description}, not {_quoted(value)}"
                 raise SettingsFieldError(place, problem)
--- a/umberusher/decisions/slow_start.py
+++ b/umberusher/decisions/slow_start.py
@@ -13,7 +13,7 @@
 # Fraction of the engine's budget that the brokers hand out, and windows of it that may be saved
 # up: both within one window are the whole budget.
 BUDGET_FRACTION = 0.65
-SAVED_WINDOWS = 0.5
+MAX_SAVED_WINDOWS = 0.5
 # The largest request that a warming-up engine is sent, as a fraction of the whole budget.
 MAX_REQUEST_FRACTION = 0.9
 # Fraction of a core's output that counts as capacity.
@@ -59,13 +59,13 @@
             and now_ms - engine.started_ms <= self._budgeted_for_ms
         )
 
-    def may_try(self, request: Request, engine: Engine, now_ms: float) -> bool:
+    def may_grant(self, request: Request, engine: Engine, now_ms: float) -> bool:
         """Return whether it is worth a try to get credit for a request; it changes nothing."""
         if not self.is_budgeted(engine, now_ms):
             return True
         share = self._share_calls(engine, self._window_work_ms(engine, now_ms))
         cost = self._cost_calls(request)
-        return cost > SAVED_WINDOWS * share or self._credit_calls(engine, share, now_ms) > cost
+        return cost > MAX_SAVED_WINDOWS * share or self._credit_calls(engine, share, now_ms) > cost
 
     def grant(self, request: Request, engine: Engine, now_ms: float) -> bool:
         """Set aside credit for a request that is about to be sent; False where there is none."""
@@ -78,10 +78,10 @@
         cost = self._cost_calls(request)
         credit = self._credit_calls(engine, share, now_ms)
         # A broker whose share could never save up such a cost wins it by lot instead.
-        staked = cost > SAVED_WINDOWS * share
-        granted = credit > cost * (self._rng.random() if staked else 1.0)
+        by_lottery = cost > MAX_SAVED_WINDOWS * share
+        granted = credit > cost * (self._rng.random() if by_lottery else 1.0)
         engine.credit_updated_at = now_ms
-        engine.slow_start_credit = max(credit - cost, 0.0) if granted or staked else credit
+        engine.slow_start_credit = max(credit - cost, 0.0) if granted or by_lottery else credit
         if granted:
             request.slow_start_grant = engine
         return granted
@@ -110,7 +110,7 @@
     def _credit_calls(self, engine: Engine, share: float, now_ms: float) -> float:
         """Return the calls that this broker has saved up for the engine."""
         gained = share * (now_ms - engine.credit_updated_at) / (self._window_ms or 1.0)
-        return min(engine.slow_start_credit + gained, SAVED_WINDOWS * share)
+        return min(engine.slow_start_credit + gained, MAX_SAVED_WINDOWS * share)
 
     def _cost_calls(self, request: Request) -> float:
         """Return what a request costs: half as a call, half by its work."""
--- a/umberusher/decisions/stalled_attempts.py
+++ b/umberusher/decisions/stalled_attempts.py
@@ -13,7 +13,7 @@
 LONG_WEIGHT = 0.15
 FADE_FRACTION = 0.002
 # Belief from which a key no longer waits for an answer till its client gives up.
-TIMEOUT_BELIEF = 0.3
+TIMEOUT_STALL_PROBABILITY = 0.3
 # How long it waits then: times the expected latency, and times the latency objective.
 TIMEOUT_EXPECTED_FACTOR = 8.0
 TIMEOUT_OBJECTIVE_FACTOR = 1.5
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, estimates: LatencyEstimates) -> None:
-        self.belief = 0.0
+        self.stall_probability = 0.0
         self._estimates = estimates
 
     def observe_end(self, attempt: Attempt, event: AttemptEnded) -> None:
@@ -36,9 +36,9 @@
         succeeded = event.outcome is AttemptOutcome.SUCCEEDED
         is_long = event.elapsed_ms > LONG_FACTOR * max(attempt.expected_ms, MIN_EXPECTED_MS)
         if is_long and (timed_out_at_deadline or succeeded):
-            self.belief += LONG_WEIGHT * (timed_out_at_deadline - self.belief)
+            self.stall_probability += LONG_WEIGHT * (timed_out_at_deadline - self.stall_probability)
         elif succeeded:
-            self.belief *= 1 - FADE_FRACTION
+            self.stall_probability *= 1 - FADE_FRACTION
 
     def timeout_ms(self, request: Request, expected_ms: float) -> float | None:
         """Return how long the key of a request waits for it; None: until its client gives up.
@@ -46,7 +46,7 @@
         Guards a key whose answers are lost. Elsewhere a slow attempt is let run: what is cut may
         have run and can't be tried again.
         """
-        if request.key is None or self.belief < TIMEOUT_BELIEF:
+        if request.key is None or self.stall_probability < TIMEOUT_STALL_PROBABILITY:
             return None
         objective_ms = self._estimates.objective_at(request) - request.arrived_at
         return round(
--- a/umberusher/decisions/tenant_quotas.py
+++ b/umberusher/decisions/tenant_quotas.py
@@ -32,7 +32,7 @@
         }
         self._over_quota_weight = settings.over_quota_weight
 
-    def weigh(self, tenant: str | None, now_ms: float) -> float:
+    def consume(self, tenant: str | None, now_ms: float) -> float:
         """Take one request and return the factor of its priority weight.
 
         A request of no known tenant keeps its whole weight.
