--- a/scripts/measure_slow_start.py
+++ b/scripts/measure_slow_start.py
@@ -11,7 +11,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from tests.decisions.fleet_player import RULES, Fleet, over, play
+from tests.decisions.fleet_player import RULES, Fleet, simulate_fleet, worst_budget_excess
 
 
 def late(chance) -> float:
@@ -27,33 +27,33 @@
 }
 VARIANT = RULES | {"overload_multiple": 3.0, "overload_window_ms": 2000.0}
 FLEETS = {
-    "20lost": Fleet(20, 20, 20, lost_ms=3000, load=1.0),
-    "30lost": Fleet(30, 20, 20, lost_ms=3000, load=1.0),
-    "200lost": Fleet(200, 40, 20, lost_ms=4500, seconds=7, load=1.0),
-    "200late": Fleet(200, 40, 20, told=late, seconds=7, load=1.1),
-    "30late": Fleet(30, 20, 10, told=late, load=1.1),
+    "20lost": Fleet(20, 20, 20, outage_at_ms=3000, load=1.0),
+    "30lost": Fleet(30, 20, 20, outage_at_ms=3000, load=1.0),
+    "200lost": Fleet(200, 40, 20, outage_at_ms=4500, seconds=7, load=1.0),
+    "200late": Fleet(200, 40, 20, notification_delay_ms=late, seconds=7, load=1.1),
+    "30late": Fleet(30, 20, 10, notification_delay_ms=late, load=1.1),
     "30one": Fleet(30, 8, 1, load=1.2),
     "200one": Fleet(200, 30, 1, load=1.2, seconds=6),
     "20one": Fleet(20, 8, 1, load=1.2),
     "2one": Fleet(2, 8, 1, load=1.2),
-    "20U": Fleet(20, 8, 8, load=1.2, rules=SECOND_SITE, lost_ms=3000),
-    "30U": Fleet(30, 8, 8, load=1.2, rules=SECOND_SITE, lost_ms=3000),
-    "30V": Fleet(30, 8, 4, load=1.2, rules=VARIANT, lost_ms=3000),
-    "30few": Fleet(30, 20, 2, load=1.0, lost_ms=3000),
-    "200few": Fleet(200, 40, 4, load=1.0, lost_ms=4500, seconds=7),
+    "20U": Fleet(20, 8, 8, load=1.2, rules=SECOND_SITE, outage_at_ms=3000),
+    "30U": Fleet(30, 8, 8, load=1.2, rules=SECOND_SITE, outage_at_ms=3000),
+    "30V": Fleet(30, 8, 4, load=1.2, rules=VARIANT, outage_at_ms=3000),
+    "30few": Fleet(30, 20, 2, load=1.0, outage_at_ms=3000),
+    "200few": Fleet(200, 40, 4, load=1.0, outage_at_ms=4500, seconds=7),
     "30idle": Fleet(30, 8, 1, load=1.2, keepalive_ms=4000.0),
-    "200scope": Fleet(200, 560, 40, load=0.8, seconds=4, scoped=True),
-    "60scope": Fleet(60, 400, 8, load=0.15, seconds=4, lost_ms=2000, scoped=True),
-    "60whole": Fleet(60, 400, 8, load=0.15, seconds=4, lost_ms=2000),
-    "200lscope": Fleet(200, 400, 8, load=0.15, seconds=4, lost_ms=2000, scoped=True),
-    "200few6": Fleet(200, 40, 4, load=0.8, lost_ms=7000, seconds=10, uneven=8),
+    "200scope": Fleet(200, 560, 40, load=0.8, seconds=4, subset_only=True),
+    "60scope": Fleet(60, 400, 8, load=0.15, seconds=4, outage_at_ms=2000, subset_only=True),
+    "60whole": Fleet(60, 400, 8, load=0.15, seconds=4, outage_at_ms=2000),
+    "200lscope": Fleet(200, 400, 8, load=0.15, seconds=4, outage_at_ms=2000, subset_only=True),
+    "200few6": Fleet(200, 40, 4, load=0.8, outage_at_ms=7000, seconds=10, max_traffic_ratio=8),
 }
 
 
 def one(job: tuple[str, int]) -> tuple[str, float]:
     """A scenario's name, and how far its worst window lies over the bound, in N."""
     name, seed = job
-    return name, over(FLEETS[name], play(FLEETS[name], seed))
+    return name, worst_budget_excess(FLEETS[name], simulate_fleet(FLEETS[name], seed))
 
 
 def main() -> None:
--- a/tests/decisions/fleet_player.py
+++ b/tests/decisions/fleet_player.py
@@ -75,14 +75,14 @@
     cold: int
     seconds: float = 8.0
     load: float = 0.8  # of what all engines do when warm
-    uneven: float = 4.0  # the most traffic of a broker over the least
-    told: Callable[[random.Random], float] = field(
+    max_traffic_ratio: float = 4.0  # the most traffic of a broker over the least
+    notification_delay_ms: Callable[[random.Random], float] = field(
         default=lambda chance: 800 + 400 * chance.random()
     )
-    lost_ms: float | None = None  # when all warm engines refuse from then on
+    outage_at_ms: float | None = None  # when all warm engines refuse from then on
     keepalive_ms: float = 15_000.0
     rules: dict[str, float] = field(default_factory=lambda: dict(RULES))
-    scoped: bool = (
+    subset_only: bool = (
         False  # brokers hear of the list by a route each, which tells them of their scope only
     )
 
@@ -102,7 +102,7 @@
         )
 
 
-def play(fleet: Fleet, seed: int) -> dict[str, list[float]]:
+def simulate_fleet(fleet: Fleet, seed: int) -> dict[str, list[float]]:
     """When each cold engine got a call, in ms after its start."""
     chance = random.Random(seed)
     settings = Settings(
@@ -123,7 +123,7 @@
             )
             for number in range(fleet.brokers)
         ]
-        if fleet.scoped
+        if fleet.subset_only
         else []
     )
     clock = 0.0
@@ -141,7 +141,7 @@
 
     def listed(names: list[str], rev: int, **more) -> EndpointListUpdate | WatchEvent:
         found = entries(names, **more)
-        if not fleet.scoped:
+        if not fleet.subset_only:
             return EndpointListUpdate(found, complete=rev == 1)
         return WatchEvent(rev, rev == 1, found, dict.fromkeys(names))
 
@@ -167,7 +167,9 @@
             cls, work = requests[action.request]
             attempt = sent[action.request] = sent.get(action.request, -1) + 1
             lost = (
-                action.engine in warm and fleet.lost_ms is not None and now - start >= fleet.lost_ms
+                action.engine in warm
+                and fleet.outage_at_ms is not None
+                and now - start >= fleet.outage_at_ms
             )
             if action.engine in got:
                 got[action.engine].append(now - start)
@@ -187,13 +189,13 @@
                 ),
             )
 
-    weights = [fleet.uneven ** chance.random() for _ in brokers]
+    weights = [fleet.max_traffic_ratio ** chance.random() for _ in brokers]
     rate = fleet.load * (fleet.warm + fleet.cold) * CAPACITY * CORES / MEAN_WORK  # calls a ms
     gaps = [sum(weights) / weight / rate for weight in weights]
     for number in range(fleet.brokers):
         plan(start - 6000, number, listed(warm, 1))
         plan(start - 5000 + chance.expovariate(1 / gaps[number]), number, None)
-        plan(start + fleet.told(chance), number, listed(cold, 2, started_ms=start))
+        plan(start + fleet.notification_delay_ms(chance), number, listed(cold, 2, started_ms=start))
     while queue and queue[0][0] < start + 1000 * fleet.seconds:
         now, _, number, event = heapq.heappop(queue)
         clock = now
@@ -214,7 +216,7 @@
     return got
 
 
-def over(fleet: Fleet, got: dict[str, list[float]]) -> float:
+def worst_budget_excess(fleet: Fleet, got: dict[str, list[float]]) -> float:
     """The worst window of all engines: its calls beyond the budget N, in roots of N less the two
     that are allowed. Positive breaks N + 2 x root of N + 2."""
     worst, window = -99.0, fleet.rules["overload_window_ms"]
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.decisions.bench import COLD, Bench, make_settings, only
-from tests.decisions.fleet_player import RULES, Fleet, over, play
+from tests.decisions.fleet_player import RULES, Fleet, simulate_fleet, worst_budget_excess
 from umberusher.decisions.actions import StartAttempt
 from umberusher.decisions.events import (
     AttemptOutcome,
@@ -26,11 +26,11 @@
     [
         (Fleet(2, 8, 1, load=1.2), 1),
         (Fleet(20, 8, 1, load=1.2), 1),
-        (Fleet(30, 20, 2, load=1.0, lost_ms=3000), 1),
-        (Fleet(30, 20, 2, load=1.0, lost_ms=3000), 2),
-        (Fleet(20, 8, 4, load=1.2, lost_ms=3000, rules=SECOND_SITE), 1),
-        (Fleet(200, 40, 4, load=1.0, lost_ms=4500, seconds=6), 1),
-        (Fleet(60, 400, 8, load=0.15, lost_ms=2000, seconds=4, scoped=True), 1),
+        (Fleet(30, 20, 2, load=1.0, outage_at_ms=3000), 1),
+        (Fleet(30, 20, 2, load=1.0, outage_at_ms=3000), 2),
+        (Fleet(20, 8, 4, load=1.2, outage_at_ms=3000, rules=SECOND_SITE), 1),
+        (Fleet(200, 40, 4, load=1.0, outage_at_ms=4500, seconds=6), 1),
+        (Fleet(60, 400, 8, load=0.15, outage_at_ms=2000, seconds=4, subset_only=True), 1),
     ],
     ids=[
         "2",
@@ -48,8 +48,8 @@
     those who look seldom, and was given to those who have the engine in their scope and to all
     others too: where the other engines were lost at once, eight of eight seeds broke it, by 1.3 N
     in the median."""
-    got = play(fleet, seed)
-    assert over(fleet, got) <= 0
+    got = simulate_fleet(fleet, seed)
+    assert worst_budget_excess(fleet, got) <= 0
     calls = sum(map(len, got.values())) / len(got) / fleet.seconds
     assert calls > 0.25 * fleet.budget(0) / (
         fleet.rules["overload_multiple"] * fleet.rules["overload_window_ms"] / 1000
