--- a/umberusher/__init__.py
+++ b/umberusher/__init__.py
@@ -1,4 +1,4 @@
-"""umberusher: admission decisions for queries on a pool of engines."""
+"""umberusher: a broker that balances client queries over a pool of query engines."""
 
 from umberusher.decisions.balancer import LoadBalancer
 
--- a/umberusher/decisions/__init__.py
+++ b/umberusher/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions: which engine gets which attempt and when.
+"""The load balancing decisions: which engine receives which attempt, and when.
 
-Events go in and actions come out, without I/O.
+The load balancer maps events to actions and does no I/O.
 """
--- a/umberusher/decisions/abandonment.py
+++ b/umberusher/decisions/abandonment.py
@@ -1,4 +1,4 @@
-"""Abandonment: attempts that go far too slowly are cancelled and repeated elsewhere."""
+"""Abandonment: attempts that run far too slowly are cancelled and repeated elsewhere."""
 
 from __future__ import annotations
 
@@ -8,18 +8,20 @@
 from umberusher.decisions.request import Attempt, Request
 from umberusher.decisions.settings import Idempotency, Limits
 
-# Projected time, times the expected latency, that marks a bad plan or a sick engine.
+# An attempt whose projected time exceeds this multiple of the expected latency has a bad query
+# plan or an unhealthy engine.
 MAX_PROJECTED_FACTOR = 4.0
-# Least remaining time, times the expected latency, that makes a repeat worth its work.
+# Below this multiple of the expected latency, the remaining time does not justify the work of a
+# repeat.
 MIN_REMAINING_FACTOR = 2
-# Attempts of one request that are abandoned at most.
+# Limit for each request.
 MAX_ABANDONED_ATTEMPTS = 2
-# Least progress by which the remaining time is projected.
+# Lower progress counts as this when the remaining time is projected.
 MIN_PROGRESS = 0.01
 
 
 class Abandonment:
-    """The choice to cancel a slow attempt, where cancels are heeded."""
+    """Decides whether to cancel a slow attempt, where engines support cancellation."""
 
     def __init__(self, limits: Limits, eligibility: Eligibility, actions: list[Action]) -> None:
         self._limits = limits
@@ -29,7 +31,7 @@
     def observe_progress(
         self, request: Request, attempt: Attempt, event: AttemptProgress, now_ms: float
     ) -> None:
-        """Take an engine's word on how far an attempt is; cancel it where another is better."""
+        """Record the progress of an attempt; cancel it where a new attempt would finish sooner."""
         if attempt.cancelled or request.streaming or event.kind is not ProgressKind.PROGRESS:
             return
         attempt.progress = event.value
--- a/umberusher/decisions/actions.py
+++ b/umberusher/decisions/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the load balancer asks its broker to do."""
+"""Actions: what the load balancer tells its broker to do."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send an attempt; timeout_ms None waits until the client gives up."""
+    """Send an attempt; with timeout_ms None it lasts until the client gives up."""
 
     request: str
     engine: str
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class SetPriority:
-    """Memory (0: the engine's choice) and priority (0 to 3) of a request."""
+    """Set the memory (0: chosen by the engine) and the priority (0 to 3) of a request."""
 
     request: str
     memory_mb: float
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: not done, a retry does no harm."""
+    """Final answer: the request was rejected, and the client may safely retry it."""
 
     request: str
     retry_after_ms: float | None = None
@@ -41,21 +41,21 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed, nothing is promised."""
+    """Final answer: the request failed, without a guarantee that it has not run."""
 
     request: str
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask an engine for its load."""
+    """Send a health check, which requests a load report from an engine."""
 
     engine: str
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired."""
+    """Request a TimerFired event after a delay."""
 
     token: str
     delay_ms: float
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Follow the endpoint list (or stop)."""
+    """Start or stop watching the endpoint list."""
 
     enabled: bool
 
--- a/umberusher/decisions/arrival_rate.py
+++ b/umberusher/decisions/arrival_rate.py
@@ -1,17 +1,18 @@
-"""The pace at which requests arrive at this broker."""
+"""The rate at which requests arrive at this broker."""
 
 from __future__ import annotations
 
 import math
 
-# Weight of a new gap in the mean, once there are enough of them.
+# Least weight of a new gap in the mean; the first gaps weigh more.
 GAP_WEIGHT = 0.05
-# A longer gap counts as this, so that a quiet hour is not waited out; also the gap at the start.
+# Longer gaps count as this, so that the mean recovers quickly after a quiet hour; also the initial
+# gap.
 MAX_GAP_MS = 1_000.0
 
 
 class ArrivalRate:
-    """Mean time between two requests that arrive at this broker."""
+    """Moving average of the time between two arrivals at this broker."""
 
     __slots__ = ("_arrival_count", "_last_arrival_at", "mean_gap_ms")
 
--- a/umberusher/decisions/attempt_outcomes.py
+++ b/umberusher/decisions/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from the end of an attempt: what is learned, and what becomes of its request."""
+"""Handling of ended attempts: updates the estimates, then retries or answers the request."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from umberusher.decisions.settings import Idempotency, Limits
 from umberusher.decisions.stalled_attempts import StalledAttempts
 
-# Error answers from different engines after which the request is at fault.
+# After errors from this many engines the request itself is considered faulty.
 MAX_ERRORS_PER_REQUEST = 2
 
 
 class AttemptOutcomes:
-    """Passes the end of an attempt on to all that learn from it, then retries or answers."""
+    """Reports the end of an attempt to all estimators, then retries or answers its request."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._stalled_attempts = stalled_attempts
 
     def observe_end(self, event: AttemptEnded, now_ms: float) -> Attempt | None:
-        """Take the one end of an attempt; return it, or None where it was not in flight."""
+        """Process the end of an attempt; return the attempt, or None if it was not in flight."""
         attempt = self._in_flight.end(event.request, event.attempt, now_ms)
         if attempt is None:
             return None
@@ -66,7 +66,7 @@
         if outcome is not AttemptOutcome.SUCCEEDED and not outcome.never_ran:
             request.unresolved.append(attempt)
             if outcome is not AttemptOutcome.ERROR:
-                # It may still run: the key's next request would overtake it.
+                # The attempt may still run, and the key's next request would overtake it.
                 self._key_order.cool_down(request, now_ms)
         self._stalled_attempts.observe_end(attempt, event)
         self._update_estimates(request, attempt, event, now_ms)
@@ -80,7 +80,7 @@
         return attempt
 
     def observe_report(self, engine: Engine, report: LoadReport, now_ms: float) -> None:
-        """Take a load report; credit the sends since the last one by what it shows."""
+        """Process a load report; credit the sends since the last report by the reported load."""
         threads_per_attempt = self._in_flight.threads_per_attempt()
         threads = self._loads.observe_report(engine, report, threads_per_attempt, now_ms)
         if threads is not None:
@@ -90,7 +90,7 @@
     def _update_estimates(
         self, request: Request, attempt: Attempt, event: AttemptEnded, now_ms: float
     ) -> None:
-        """Move selection probabilities, health and estimates by how an attempt ended."""
+        """Update selection probabilities, health and estimates by the outcome of an attempt."""
         engine = attempt.engine
         if event.outcome is AttemptOutcome.SUCCEEDED:
             self._outliers.observe_success(engine)
@@ -104,9 +104,9 @@
             self._outliers.observe_failure(request, engine, event.outcome, now_ms)
 
     def _count_served(self, request: Request) -> None:
-        """Let a served request widen the retry budget where it has not done so on arrival.
+        """Count a served request towards the retry budget, unless it counted on arrival.
 
-        Guards the budget: calls of clients that no engine serves would widen it for all others.
+        Requests that no engine serves must not count: they would raise the budget of all clients.
         """
         if request.counts_for_retries or request.ended:
             return
@@ -115,7 +115,7 @@
     def _retry_or_answer(
         self, request: Request, attempt: Attempt, outcome: AttemptOutcome, now_ms: float
     ) -> None:
-        """Queue one more attempt where the rules allow it, else give the final answer."""
+        """Queue one more attempt if the rules allow it, else send the final answer."""
         request.avoided_engine = attempt.engine
         non_idempotent = request.query_class.idempotency is Idempotency.NON_IDEMPOTENT
         if (
--- a/umberusher/decisions/attempts_in_flight.py
+++ b/umberusher/decisions/attempts_in_flight.py
@@ -10,12 +10,12 @@
 
 
 class AttemptsInFlight:
-    """Every attempt from its send to its one end, also of requests that have ended.
+    """All attempts between their start and their end, including those of ended requests.
 
     Attributes:
         attempts: By request id and attempt number.
-        threads: Threads that they use on all engines.
-        last_end_at: When the last of them ended.
+        threads: Threads that the attempts use on all engines.
+        last_end_at: Time when an attempt last ended.
     """
 
     __slots__ = ("_threads_per_class", "attempts", "last_end_at", "threads")
@@ -39,7 +39,7 @@
         return attempt
 
     def end(self, request_id: str, number: int, now_ms: float) -> Attempt | None:
-        """Take out an attempt that has ended; None for one that is not in flight."""
+        """Remove an attempt that has ended; return None if it is not in flight."""
         attempt = self.attempts.pop((request_id, number), None)
         if attempt is None:
             return None
@@ -52,7 +52,7 @@
         return attempt
 
     def threads_per_attempt(self) -> float:
-        """Return the mean threads of an attempt; of a class where none is in flight."""
+        """Return the mean threads of the attempts in flight; of the classes if there are none."""
         if self.attempts:
             return self.threads / len(self.attempts)
         return self._threads_per_class
--- a/umberusher/decisions/balancer.py
+++ b/umberusher/decisions/balancer.py
@@ -1,7 +1,7 @@
-"""The load balancer: takes events, gives actions. It passes each event on and decides nothing.
+"""The load balancer: dispatches each event to the components and returns their actions.
 
 The mechanism is that of "Dynamic Scope of Control in Decentralized Job Scheduling";
-``docs/design.md`` tells what was kept of it, what was added, and when each addition acts.
+``docs/design.md`` describes what was kept of it, what was added, and when each addition applies.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
     fixed order, so that equal events at equal times give equal actions.
 
     Attributes:
-        settings: The settings that it was made with.
+        settings: The settings of this load balancer.
         random: The generator of all draws.
         queue: The requests that wait for an engine.
     """
@@ -74,13 +74,13 @@
         seed: int,
         team_retry_budget: Callable[[str], bool] | None = None,
     ) -> None:
-        """Make a load balancer that knows no engines.
+        """Create a load balancer that knows no engines.
 
         Args:
             settings: The classes, limits and rules.
             seed: Seed of its random draws.
-            team_retry_budget: Whether the retry budget of a request's own team has one more, by
-                request id.
+            team_retry_budget: Returns whether the retry budget of a request's team allows one
+                more retry, by request id.
         """
         self.settings = settings
         self.random = random.Random(seed)
@@ -110,7 +110,7 @@
         broker_count: int,
         team_retry_budget: Callable[[str], bool] | None,
     ) -> None:
-        """Build what holds state, from the bottom up."""
+        """Build the components that hold state; each uses only those before it."""
         rules = settings.rules
         self.arrivals = ArrivalRate()
         self.estimates = LatencyEstimates(settings.classes)
@@ -135,7 +135,7 @@
         )
 
     def _build_placement(self, settings: Settings, broker_count: int) -> None:
-        """Build what sends queued requests to engines."""
+        """Build the components that send queued requests to engines."""
         limits = settings.limits
         actions = self._actions
         self.open_requests = OpenRequests(limits, self.queue, self.key_order, actions)
@@ -168,7 +168,7 @@
         )
 
     def _build_reactions(self, settings: Settings) -> None:
-        """Build what reacts to attempts, timers and the endpoint list."""
+        """Build the components that react to attempts, timers and the endpoint list."""
         limits = settings.limits
         actions = self._actions
         self.review = RequestReview(
@@ -206,7 +206,7 @@
 
     @property
     def up(self) -> list[Engine]:
-        """The engines that may be drawn."""
+        """The engines that may be selected."""
         return self.pool.up
 
     @property
@@ -215,13 +215,13 @@
         return self.open_requests.requests
 
     def ejected_endpoints(self, now_ms: float) -> set[str]:
-        """Return the ids of the engines that are up but ejected; it changes nothing."""
+        """Return the ids of the engines that are up but ejected."""
         return self.outliers.ejected(now_ms)
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event; return the actions that follow, in their order.
+        """Process one event; return the resulting actions in order.
 
-        A time before that of an earlier event counts as that one. Never call it from within.
+        A time before that of an earlier event counts as that time. This method is not reentrant.
         """
         now_ms = max(self._now_ms, now_ms)
         self._now_ms = now_ms
--- a/umberusher/decisions/concurrency_limit.py
+++ b/umberusher/decisions/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Concurrency limit: the load up to which requests are sent, learned from late answers."""
+"""Concurrency limit: the load up to which requests are sent, learned from slow answers."""
 
 from __future__ import annotations
 
@@ -11,36 +11,37 @@
 from umberusher.decisions.request import Request
 from umberusher.decisions.request_queue import RequestQueue
 
-# Threads a core above which a request is queued, at the start; engines lose output past 1 to 2.
+# Initial limit, in threads per core. The throughput of an engine falls above 1 to 2.
 INITIAL_LIMIT = 2.4
 MIN_LIMIT = 0.6
 MAX_LIMIT = 3.2
-# Fraction of the limit that an attempt too slow for its objective takes; more starves the longer
-# classes.
+# An attempt that is too slow for its objective lowers the limit by this fraction; a larger one
+# starves the classes of long requests.
 DECREASE_FRACTION = 0.012
-# What a timely attempt adds while requests are queued: about one slow in four is borne.
+# A timely attempt raises the limit by this while requests are queued. With these two steps the
+# limit tolerates about one slow answer in four.
 INCREASE = 0.01
-# A step is taken up to this many times where a broker has few requests to learn from.
+# Steps are multiplied by up to this factor where a broker has few requests to learn from.
 MAX_STEP_FACTOR = 10.0
-# Mean gap between requests from which steps grow.
+# Mean gap between requests above which steps grow.
 STEP_GAP_MS = 20.0
-# Fraction of a request's objective that its attempt may take.
+# An attempt that takes more than this fraction of its request's objective is slow.
 MAX_OBJECTIVE_FRACTION = 0.5
-# Short requests, and those that keep order, for whose end a whole key waits, may go above it by
-# this factor.
+# The limit is multiplied by this for short requests and for ordered requests, because all later
+# requests of a key wait for an ordered one.
 SHORT_FACTOR = 1.6
-# The limit of requests past their objective: they only fill what is idle.
+# Limit of requests past their objective: they only use idle capacity.
 PAST_OBJECTIVE_LIMIT = 0.9
-# Fraction of the limit, over the brokers, that this one may always use, whatever is reported.
+# This fraction of a broker's share of the limit may be used whatever the load reports say.
 RESERVED_FRACTION = 0.4
 MIN_RESERVED_THREADS = 0.001
 
 
 class ConcurrencyLimit:
-    """The learned limit, in threads a core.
+    """The learned limit, in threads per core.
 
     Attributes:
-        threads_per_core: Load from which requests are queued.
+        threads_per_core: Load above which requests are queued.
     """
 
     def __init__(
@@ -71,13 +72,13 @@
         return self.threads_per_core
 
     def has_reserved_share(self, request: Request, now_ms: float) -> bool:
-        """Return whether the part of the pool that is this broker's own has room.
+        """Return whether the reserved share of this broker has room for the request.
 
-        Guards against late load reports, which must not stop all sends.
+        Without a reserved share, late load reports could stop all sends.
         """
         reserved = RESERVED_FRACTION * self.limit_for(request) * self._pool.own_cores
         threads = request.query_class.threads
-        # A share smaller than the request is measured with the request in it.
+        # Where the share is smaller than the request, the request itself counts as used.
         needed = threads if reserved < threads else 0.0
         excess = self._in_flight.threads + needed - reserved
         if excess > 0 and not self._in_flight.attempts:
@@ -87,10 +88,10 @@
         return excess <= 0
 
     def observe_answer(self, request: Request, event: AttemptEnded) -> None:
-        """Lower the limit after a slow attempt; raise it after a timely one while others wait."""
+        """Lower the limit after a slow attempt; raise it after a timely one if others wait."""
         step_factor = 1.0
-        # Only where load reports say that it is crowded: slow answers of engines that report
-        # nothing or warm up move it no faster.
+        # Steps grow only where load reports confirm the overload: slow answers of engines that
+        # report nothing or are warming up keep the ordinary step.
         if self._loads.mean_load > self.threads_per_core:
             step_factor = min(max(self._arrivals.mean_gap_ms / STEP_GAP_MS, 1.0), MAX_STEP_FACTOR)
         objective_ms = self._estimates.objective_at(request) - request.arrived_at
--- a/umberusher/decisions/eligibility.py
+++ b/umberusher/decisions/eligibility.py
@@ -1,4 +1,4 @@
-"""Eligibility: the one gate that holds all rules on a send."""
+"""Eligibility: all rules on whether an attempt may be sent."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class Eligibility:
-    """Every send passes ``may_send``; nothing goes around it.
+    """Checks every attempt with ``may_send`` before it is sent; there is no other path.
 
     Attributes:
-        team_retry_budget: Whether the retry budget of a request's own team has one more, by
-            request id; None where there are no teams.
+        team_retry_budget: Returns whether the retry budget of a request's team allows one more
+            retry, by request id; None where there are no teams.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
     ) -> None:
         self.team_retry_budget = team_retry_budget
         self._limits = settings.limits
-        # An engine counts an attempt up to two rounds of the broker after it was decided.
+        # An attempt may reach its engine up to two ticks of the broker after it was decided.
         self._send_delay_ms = 2 * settings.tick_ms
         self._key_order = key_order
         self._retry_budget = retry_budget
@@ -48,7 +48,7 @@
         )
 
     def may_use(self, request: Request, engine: Engine, now_ms: float) -> bool:
-        """Apply the rules on an engine: drains, placement, repeats, and its slow start."""
+        """Apply the rules on the engine: state, placement, deduplication and slow start."""
         query_class = request.query_class
         return (
             engine.up
@@ -59,7 +59,7 @@
         )
 
     def may_attempt(self, request: Request, now_ms: float) -> bool:
-        """Apply the rules that no choice of engine can mend."""
+        """Apply the rules that do not depend on the choice of an engine."""
         if request.ended or request.streaming:
             return False
         if request.attempts_sent >= self._limits.max_attempts or now_ms >= request.deadline:
@@ -80,7 +80,7 @@
         return self.team_retry_budget is None or self.team_retry_budget(request.id)
 
     def may_repeat(self, request: Request, engine: Engine, now_ms: float) -> bool:
-        """Return whether an engine drops the duplicate of a keyed request that may have run."""
+        """Return whether the engine would drop a repeat of a keyed request that may have run."""
         query_class = request.query_class
         if query_class.idempotency is not Idempotency.KEYED:
             return True
--- a/umberusher/decisions/engine.py
+++ b/umberusher/decisions/engine.py
@@ -1,4 +1,4 @@
-"""State of one engine as a load balancer knows it."""
+"""State of one engine in a load balancer."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class Engine:
-    """What one load balancer knows of one engine.
+    """What one load balancer knows about one engine.
 
-    Times are in milliseconds of the load balancer's clock, ``-inf`` where there is none yet.
+    Times are in milliseconds of the load balancer's clock, ``-inf`` before the first event.
 
     Attributes:
-        selection_probability: Learned probability to enter a control set.
-        broker_count: Brokers that are told of this engine, itself included.
-        up: Whether the endpoint list lets new requests go there.
-        listed: Whether the endpoint list names it at all.
+        selection_probability: Learned probability of being drawn into a control set.
+        broker_count: Number of brokers that know this engine, including this one.
+        up: Whether the endpoint list allows new requests on it.
+        listed: Whether the endpoint list contains it.
         in_subset: Whether it belongs to the engines that this broker keeps in use.
-        has_reported: Whether a load report has come since it started.
+        has_reported: Whether a load report has arrived since it started.
         unresponsive: Whether its last health check went unanswered.
-        threads_in_flight: Threads of this broker's attempts there.
-        threads_of_others: Threads that other brokers use there, by its load reports.
-        latency_factor: Log of how much slower it is than the latency estimate.
-        warm_up_progress: Least fraction of its capacity that the rules let it have by now.
-        attempts_in_flight: This broker's attempts there.
-        uncredited_sends: Sends whose effect no load report has shown yet.
+        threads_in_flight: Threads of this broker's attempts on it.
+        threads_of_others: Threads that other brokers use on it, according to its load reports.
+        latency_factor: Log of the ratio of its latency to the latency estimate.
+        warm_up_progress: Least fraction of its capacity that it has by now under the rules.
+        attempts_in_flight: Number of this broker's attempts on it.
+        uncredited_sends: Sends since its last load report.
         consecutive_ejections: Ejections since its last successful answer.
-        attributed_errors: Errors in a row on requests that another engine then served.
+        attributed_errors: Consecutive errors on requests that another engine then served.
         slow_start_credit: Calls that it may be sent while it warms up.
         loads_by_group: Attempts in flight that lock a group, by that group.
     """
@@ -93,7 +93,7 @@
         self.health_checked_at = -math.inf
 
     def update(self, entry: EndpointUpdate, cores: float, broker_count: float) -> None:
-        """Take over what the endpoint list says."""
+        """Apply an entry of the endpoint list."""
         self.zone = entry.zone
         self.kind = entry.kind
         self.cell = entry.cell
@@ -103,7 +103,7 @@
         self.listed = entry.state is not EndpointState.REMOVED
 
     def restart(self, started_ms: float, selection_probability: float, now_ms: float) -> None:
-        """Forget what was learned of the incarnation before; attempts in flight stay counted."""
+        """Forget what was learned of the previous incarnation; attempts in flight stay counted."""
         self.started_ms = started_ms
         self.selection_probability = selection_probability
         self.consecutive_ejections = 0
@@ -112,7 +112,7 @@
         self.unresponsive = False
         self.has_reported = False
         self.ejected_until = -math.inf
-        # The next health check goes here, so that its load is known soon.
+        # Schedules the next health check on this engine, so that its load is known soon.
         self.health_checked_at = -math.inf
         self.threads_of_others = 0.0
         self.latency_factor = 0.0
@@ -128,11 +128,11 @@
             self.loads_by_group[group] += 1
 
     def remove_attempt(self, threads: float, group: int | None, locks_group: bool) -> None:
-        """Take an attempt that has ended out of the counts."""
+        """Remove an attempt that has ended from the counts."""
         self.threads_in_flight = max(self.threads_in_flight - threads, 0.0)
         self.attempts_in_flight -= 1
         if locks_group:
             self.loads_by_group[group] -= 1
             if not self.loads_by_group[group]:
-                # Groups come from clients' statements: there may be any number of them.
+                # Groups are derived from clients' statements, so their number is unbounded.
                 del self.loads_by_group[group]
--- a/umberusher/decisions/engine_choice.py
+++ b/umberusher/decisions/engine_choice.py
@@ -1,4 +1,4 @@
-"""The choice of an engine for one request: a control set is drawn, the least loaded of it taken."""
+"""The choice of an engine for a request: the least loaded engine of a random control set."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from umberusher.decisions.request import Request
 from umberusher.decisions.slow_start import SlowStart
 
-# Engines that are tried for a request whose control set came out empty, at most.
+# At most this many engines are tried for a request whose control set is empty.
 MAX_SAMPLED_ENGINES = 8
-# Candidates taken from them.
+# At most this many of them become candidates.
 SAMPLED_SET_SIZE = 2
 
 
 class EngineChoice:
-    """Draws a fresh control set for a request and picks the engine with least load of it."""
+    """Draws a new control set for each request and selects its least loaded engine."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._rng = rng
 
     def choose(self, request: Request, now_ms: float) -> Engine | None:
-        """Return the engine that a request is to be sent to; None where it waits."""
+        """Return the engine for a request; None if the request must wait."""
         pool = self._pool
         if not pool.up or not self._eligibility.may_attempt(request, now_ms):
             return None
@@ -57,7 +57,8 @@
         load = self._loads.load
         threads = request.query_class.threads
         while candidates:
-            # By lot between equals: of many brokers that know little, each would take the first.
+            # Ties are broken at random: otherwise brokers without load reports would all select the
+            # first engine of the list.
             best = min(
                 candidates,
                 key=lambda engine: (load(engine, now_ms) + threads / engine.cores, draw_uniform()),
@@ -86,7 +87,7 @@
             drawn = self._sample(request, now_ms)
         if not request.checked_engines:
             return drawn
-        # Of the engines that were asked for their load, those that have answered.
+        # Of the engines whose health was checked for this request, only those that have answered.
         answered = [
             engine
             for engine in request.checked_engines
@@ -97,7 +98,7 @@
     def _sample(self, request: Request, now_ms: float) -> list[Engine]:
         """Return up to two engines in place of an empty draw, from the subset first.
 
-        Engines that are only unwelcome are taken last.
+        Engines that are allowed but not preferred are selected last.
         """
         pool = self._pool
         placed = request.query_class.zones or request.query_class.kinds
--- a/umberusher/decisions/engine_pool.py
+++ b/umberusher/decisions/engine_pool.py
@@ -10,7 +10,8 @@
 from umberusher.decisions.events import EndpointListUpdate, EndpointUpdate
 from umberusher.decisions.settings import Settings
 
-# Requests to each engine of the subset while an idle connection lasts: none idles out.
+# Requests to each engine of the subset within the keepalive time, so that no connection is closed
+# as idle.
 REQUESTS_PER_KEEPALIVE = 8.0
 MIN_SUBSET_SIZE = 4
 DEFAULT_CORES = 1.0
@@ -21,10 +22,10 @@
 
     Attributes:
         engines: Every engine that is listed or still has attempts, by id.
-        up: The engines that may be drawn.
+        up: The engines that may be selected.
         subset: Those of them that this broker keeps in use.
-        own_cores: This broker's part of the cores that are up.
-        changed: Whether anything has happened since the last survey of the pool's load.
+        own_cores: This broker's share of the cores of the engines that are up.
+        changed: Whether the pool has changed since the last survey of its load.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self._rng = rng
 
     def subset_size(self) -> int:
-        """Return how many engines this broker's traffic keeps in use."""
+        """Return the number of engines that this broker's traffic keeps in use."""
         requests = self._keepalive_ms / self._arrivals.mean_gap_ms
         return max(int(requests / REQUESTS_PER_KEEPALIVE), MIN_SUBSET_SIZE)
 
@@ -91,17 +92,17 @@
     def _restart_if_new(
         self, engine: Engine, entry: EndpointUpdate, probability: float, now_ms: float
     ) -> None:
-        """Start an engine afresh where the list tells of a new incarnation."""
+        """Reset the state of an engine if the list has a new incarnation of it."""
         if entry.started_ms and entry.started_ms != engine.started_ms:
             if not engine.in_subset:
                 probability = self._control_sets.min_probability
             engine.restart(entry.started_ms, probability, now_ms)
 
     def extend_subset(self) -> None:
-        """Draw further engines into the subset until it fits this broker's traffic.
+        """Add random engines to the subset until its size fits this broker's traffic.
 
-        Guards large fleets of small brokers: connections would idle out, and load reports be old,
-        before they are used.
+        In large fleets of small brokers, a larger subset would let connections be closed as idle
+        and load reports become stale before they are used.
         """
         subset = self.subset
         subset_size = min(self.subset_size(), len(self.up))
@@ -116,7 +117,7 @@
         self.subset = [engine for engine in self.up if engine.in_subset]
 
     def forget_removed(self) -> None:
-        """Drop the engines that are off the list and have no attempt left."""
+        """Remove the engines that are not listed and have no attempt in flight."""
         removed = [
             engine
             for engine in self.engines.values()
--- a/umberusher/decisions/events.py
+++ b/umberusher/decisions/events.py
@@ -1,4 +1,4 @@
-"""Events: what the load balancer is notified of."""
+"""Events: the inputs of the load balancer."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of one engine."""
+    """State of an engine in the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -37,7 +37,7 @@
 
 
 class ProgressKind(Enum):
-    """What an engine tells of a running attempt."""
+    """Kind of progress report on a running attempt."""
 
     PROGRESS = "progress"
     SPILL = "spill"
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """An engine's own word on its load; what it does not report is None."""
+    """The load that an engine reports; a value that it does not report is None."""
 
     utilization: float | None = None
     in_flight: float | None = None
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Started:
-    """The load balancer starts, empty."""
+    """The load balancer has started, without engines or requests."""
 
 
 @dataclass(slots=True)
@@ -64,7 +64,7 @@
     """One entry of the endpoint list.
 
     Attributes:
-        broker_count: How many brokers are notified of this engine at most; None: all.
+        broker_count: Upper bound on the brokers that are notified of this engine; None: all.
     """
 
     engine: str
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """An update of the endpoint list: changes, or (complete) all there is."""
+    """An update of the endpoint list: the changed entries, or (complete) the whole list."""
 
     entries: tuple[EndpointUpdate, ...]
     complete: bool = False
@@ -87,16 +87,16 @@
 
 @dataclass(slots=True)
 class EndpointListFailed:
-    """A call for the list failed, or the subscription broke."""
+    """A request for the endpoint list failed, or its watch was interrupted."""
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; one final answer is owed from here on.
+    """A client's request, for which exactly one final answer must be sent.
 
     Attributes:
         work_ms: The client's hint of its work.
-        group: What a load locks, and what other requests may wait for.
+        group: The group of tables that a load locks and that other requests may wait for.
         key: Its order key.
         retry_budget_eligible: Whether it counts for the retry budget from its arrival; else it
             counts once it is served.
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The answer of a streamed class has begun."""
+    """The answer to a streamed request has started."""
 
     request: str
     attempt: int
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class AttemptProgress:
-    """An engine's word on a running attempt."""
+    """A progress report from an engine on a running attempt."""
 
     request: str
     attempt: int
@@ -136,7 +136,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one ending of an attempt."""
+    """The end of an attempt; there is exactly one for each."""
 
     request: str
     attempt: int
@@ -151,14 +151,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client is gone; nothing is owed any more."""
+    """The client has disconnected; no final answer is sent any more."""
 
     request: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the load balancer set has run out."""
+    """A timer that the load balancer set has expired."""
 
     token: str
 
--- a/umberusher/decisions/health_checks.py
+++ b/umberusher/decisions/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: which engines are asked for their load, and who waits for the answer."""
+"""Health checks: which engines are checked, and which requests wait for the result."""
 
 from __future__ import annotations
 
@@ -14,27 +14,28 @@
 from umberusher.decisions.request_queue import RequestQueue
 from umberusher.decisions.settings import Limits
 
-# How often each engine is asked at most.
+# Least time between two checks of one engine in turn.
 MIN_INTERVAL_MS = 1_000.0
 # Health checks for each request, on average.
 CHECKS_PER_REQUEST = 0.2
-# Health checks that may be saved up, for each engine.
+# Credit for health checks that may accumulate, for each engine.
 MAX_CREDIT_PER_ENGINE = 2.0
-# Engines asked on behalf of one costly request before it goes, at most.
+# At most this many engines are checked for one costly request before it is sent.
 MAX_CHECKS_PER_REQUEST = 2
-# How long a request waits for each of them.
+# Longest time that a request waits for each of these checks.
 MAX_WAIT_MS = 250.0
-# Fraction of health checks answered in time under which no request waits for one.
+# No request waits for a health check while a smaller fraction of them is answered in time.
 MIN_ANSWERED_FRACTION = 0.5
 # Weight of a new health check in that fraction.
 ANSWERED_WEIGHT = 0.2
 
 
 class HealthChecks:
-    """The pace of health checks.
+    """Schedules health checks.
 
     Attributes:
-        answered_fraction: Fraction of them that bring a load report while a request would wait.
+        answered_fraction: Fraction of checks that return a load report within the time that a
+            request would wait.
     """
 
     def __init__(
@@ -56,14 +57,14 @@
         self._credit = 0.0
 
     def observe_arrival(self) -> None:
-        """Earn a part of a health check from a request that arrives."""
+        """Add the credit of one arriving request."""
         max_credit = MAX_CREDIT_PER_ENGINE * len(self._pool.engines)
         self._credit = min(self._credit + CHECKS_PER_REQUEST, max_credit)
 
     def check_due_engines(self, now_ms: float) -> None:
-        """Ask the engines of the subset in turn, at a pace that follows traffic.
+        """Check the engines of the subset in turn, at a rate that follows the traffic.
 
-        Load reports come only when asked for where health checks are allowed.
+        Where health checks are allowed, engines send load reports only on request.
         """
         while self._limits.health_checks and self._credit >= 1 and self._pool.subset:
             engine = min(self._pool.subset, key=lambda item: item.health_checked_at)
@@ -74,9 +75,9 @@
             self._actions.append(CheckHealth(engine.id))
 
     def check_for(self, request: Request, engine: Engine, now_ms: float) -> bool:
-        """Ask an engine on behalf of a costly request; return whether the request waits for it.
+        """Check an engine for a costly request; return whether the request waits for the result.
 
-        Health checks in turn come too seldom to steer the few requests that work most.
+        Checks in turn are too rare to guide the choice for the few most costly requests.
         """
         if (
             not self._limits.health_checks
@@ -94,7 +95,7 @@
         return True
 
     def observe_end(self, engine: Engine, event: HealthCheckEnded) -> None:
-        """Learn whether answers come in time; let the requests go that wait for this one."""
+        """Record whether the check was answered in time; release the requests that wait for it."""
         in_time = event.report is not None and event.elapsed_ms < MAX_WAIT_MS
         self.answered_fraction += ANSWERED_WEIGHT * (in_time - self.answered_fraction)
         for request in self._queue.requests:
--- a/umberusher/decisions/key_order.py
+++ b/umberusher/decisions/key_order.py
@@ -22,7 +22,7 @@
     """The key queues of all order keys in use.
 
     After an attempt that may have run, its key cools down before the next request's first attempt:
-    what runs on unseen must not be overtaken.
+    the attempt may still be running, and the next request must not overtake it.
     """
 
     __slots__ = ("_cool_down_ms", "queues")
@@ -32,12 +32,12 @@
         self._cool_down_ms = cool_down_ms or 0.0
 
     def join(self, request: Request) -> None:
-        """Put a request at the end of its key's queue."""
+        """Append a request to its key's queue."""
         if request.key is not None:
             self.queues.setdefault(request.key, KeyQueue()).requests.append(request)
 
     def leave_if_done(self, request: Request) -> None:
-        """Take a request out of its key's queue once it has ended and nothing of it is out."""
+        """Remove a request from its key's queue once it has ended and has no attempt in flight."""
         if request.key is None or not request.ended or request.in_flight:
             return
         queue = self.queues.get(request.key)
@@ -45,7 +45,7 @@
             queue.requests.remove(request)
 
     def must_wait(self, request: Request, now_ms: float) -> bool:
-        """Return whether an earlier request of its key goes first, or the key cools down."""
+        """Return whether an earlier request of the key must run first, or the key cools down."""
         if request.key is None:
             return False
         queue = self.queues.get(request.key)
@@ -56,12 +56,12 @@
         return now_ms < queue.cooling_down_until and not request.attempts_sent
 
     def cool_down(self, request: Request, now_ms: float) -> None:
-        """Let the key of a request cool down from now on."""
+        """Start the cool-down of the key of a request."""
         if request.key is not None and request.key in self.queues:
             self.queues[request.key].cooling_down_until = now_ms + self._cool_down_ms
 
     def forget_idle(self, now_ms: float) -> None:
-        """Drop the keys that have no request and no cool-down left."""
+        """Remove the keys that have no requests and are not cooling down."""
         idle = [
             key
             for key, queue in self.queues.items()
--- a/umberusher/decisions/latency_estimates.py
+++ b/umberusher/decisions/latency_estimates.py
@@ -1,4 +1,4 @@
-"""Latency estimates: what requests of a class take, and what one request should."""
+"""Latency estimates: expected latency and work of each class and of one request."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 from umberusher.decisions.request import Request
 from umberusher.decisions.settings import QueryClass
 
-# Weight of a new answer in the estimates of its class, once there are enough of them.
+# Least weight of a new answer in the estimates of its class; the first answers weigh more.
 ANSWER_WEIGHT = 0.05
-# Least weight of a new request in the mean work of a request.
+# Least weight of a new request in the mean work of a request; the first requests weigh more.
 MEAN_WORK_WEIGHT = 0.01
-# A request is short below this fraction of the mean work of a request.
+# A request is short if its work is below this fraction of the mean work of a request.
 SHORT_FRACTION = 0.5
-# Fraction of an answer's thread time that counts as work where the engine does not tell.
+# Fraction of an answer's thread time that counts as work where the engine does not report it.
 WORK_PER_THREAD_TIME = 0.7
-# One answer counts as at most this many times the mean work of its class.
+# The work of one answer counts as at most this multiple of the mean work of its class.
 MAX_WORK_RATIO = 20
-# Guards divisions by a class that declares next to no threads.
+# Prevents divisions by almost zero for a class that declares almost no threads.
 MIN_THREADS = 0.1
 MIN_ELAPSED_MS = 0.1
 
 
 class ClassEstimate:
-    """What the requests of one class take.
+    """Latency and work of the requests of one class.
 
     Attributes:
-        log_time: Mean log of the answers' milliseconds.
-        log_ratio: Mean log of thread time over the clients' hint of work.
+        log_time: Mean log of the latency in milliseconds.
+        log_ratio: Mean log of the ratio of thread time to the client's hint of work.
         work_ms: Mean work.
         hint_ms: Mean of the clients' hints of work; 0 before the first.
-        answer_count: Answers seen.
+        answer_count: Number of answers observed.
     """
 
     __slots__ = ("answer_count", "hint_ms", "log_ratio", "log_time", "work_ms")
@@ -55,7 +55,7 @@
         self._arrival_count = 0
 
     def expected_ms(self, request: Request) -> float:
-        """Return the time that an attempt of this request should take."""
+        """Return the expected latency of an attempt of this request."""
         estimate = self.by_class[request.query_class.name]
         if request.work_hint_ms > 0:
             threads = max(request.query_class.threads, MIN_THREADS)
@@ -70,7 +70,7 @@
         return estimate.work_ms
 
     def objective_at(self, request: Request) -> float:
-        """Return the time by which an answer has its full weight."""
+        """Return the time until which an answer has its full weight."""
         query_class = request.query_class
         solo_ms = self.work_ms(request) / max(query_class.threads, MIN_THREADS)
         return (
@@ -80,11 +80,11 @@
         )
 
     def is_short(self, request: Request) -> bool:
-        """Return whether this request is short for the traffic."""
+        """Return whether this request is short compared with the mean request."""
         return self.work_ms(request) < SHORT_FRACTION * self.mean_work_ms
 
     def observe_arrival(self, request: Request) -> None:
-        """Learn the mean work of a request, and the mean hint of its class."""
+        """Update the mean work of a request, and the mean hint of its class."""
         weight = max(MEAN_WORK_WEIGHT, 1 / (self._arrival_count + 2))
         self.mean_work_ms += weight * (self.work_ms(request) - self.mean_work_ms)
         self._arrival_count += 1
@@ -94,7 +94,7 @@
             estimate.hint_ms += (request.work_hint_ms - estimate.hint_ms) * weight
 
     def observe_answer(self, request: Request, event: AttemptEnded) -> None:
-        """Learn the time and the work of a class from a successful attempt."""
+        """Update the latency and the work of a class by a successful attempt."""
         estimate = self.by_class[request.query_class.name]
         threads = max(request.query_class.threads, MIN_THREADS)
         elapsed_ms = max(event.elapsed_ms, MIN_ELAPSED_MS)
--- a/umberusher/decisions/load_estimates.py
+++ b/umberusher/decisions/load_estimates.py
@@ -1,4 +1,4 @@
-"""Load estimates: threads a core of each engine, from load reports and this broker's attempts."""
+"""Load estimates: threads per core of each engine, by load reports and this broker's attempts."""
 
 from __future__ import annotations
 
@@ -11,28 +11,29 @@
 from umberusher.decisions.request import Attempt
 from umberusher.decisions.slow_start import SlowStart
 
-# Time over which load reports are averaged into what other brokers use: one is noisy.
+# Time constant of the moving average over load reports; a single report is noisy.
 REPORT_AVERAGE_MS = 1_000.0
-# Fraction of an engine's distance from the pool's mean that is believed: reports may lag unseen.
+# Weight of the difference between an engine's report and the mean of the pool: a report may be
+# older than it looks.
 REPORT_DEVIATION_WEIGHT = 0.5
-# Time over which an engine's last report gives way to the mean of the pool.
+# Time constant with which the last report of an engine decays to the mean of the pool.
 REPORT_STALE_MS = 2_000.0
-# How old the means over the pool may be; reports are older than that anyway.
+# Least time between two surveys of the pool; load reports are older than that anyway.
 SURVEY_INTERVAL_MS = 50.0
 # Weight of a new answer in the latency factor of its engine.
 LATENCY_FACTOR_WEIGHT = 0.08
-# A log latency factor below this is chance, not a slow engine.
+# A smaller log latency factor is attributed to chance, not to a slow engine.
 MIN_LATENCY_FACTOR = 0.6
-# An engine is never taken for slower than this fraction of the pool.
+# Lower bound of the service rate of an engine, as a fraction of the rate of the pool.
 MIN_RELATIVE_SPEED = 0.1
 
 
 class LoadEstimates:
-    """Means over the pool, and the load of one engine by them.
+    """Mean loads of the pool, and the load of one engine.
 
     Attributes:
-        mean_load: Mean threads a core of the engines that have reported.
-        surveyed_at: When the means were taken.
+        mean_load: Mean threads per core of the engines that have reported.
+        surveyed_at: Time of the last survey of the pool.
     """
 
     def __init__(self, pool: EnginePool, slow_start: SlowStart) -> None:
@@ -41,12 +42,12 @@
         self._pool = pool
         self._slow_start = slow_start
         self._median_latency_factor = 0.0
-        # Threads a core of other brokers, on engines that are warm and on those that are not.
+        # Threads per core of other brokers, on warm engines and on engines that are warming up.
         self._mean_of_others_warm = 0.0
         self._mean_of_others_warming = 0.0
 
     def load(self, engine: Engine, now_ms: float) -> float:
-        """Return the threads a core: what others use by the reports, and this broker's own."""
+        """Return the threads per core: those of other brokers by the reports, and this broker's."""
         threads = self._threads_of_others(engine, now_ms) + engine.threads_in_flight / engine.cores
         load = threads / self.relative_speed(engine)
         if engine.has_reported or engine.warm_up_progress < 1:
@@ -62,13 +63,13 @@
         return min(speed, engine.warm_up_progress)
 
     def has_fresh_report(self, engine: Engine, now_ms: float) -> bool:
-        """Return whether an engine has reported lately."""
+        """Return whether an engine has reported recently."""
         return now_ms - engine.reported_at < REPORT_STALE_MS
 
     def _threads_of_others(self, engine: Engine, now_ms: float) -> float:
-        """Return the threads a core of other brokers.
+        """Return the threads per core of other brokers.
 
-        A report gives way with age: one of a full engine would keep the engine unused.
+        A report decays with age: otherwise the last report of a full engine would keep it unused.
         """
         reported = engine.threads_of_others / engine.cores
         if engine.warm_up_progress < 1:
@@ -81,25 +82,25 @@
         )
 
     def _freshness(self, engine: Engine, now_ms: float) -> float:
-        """Return the weight of an engine's last report, from 1 when it comes towards 0."""
+        """Return the weight of an engine's last report: 1 on arrival, decaying to 0."""
         if not engine.has_reported:
             return 0.0
         return math.exp((engine.reported_at - now_ms) / REPORT_STALE_MS)
 
     def invalidate(self) -> None:
-        """Let the next request take the means afresh, however young they are."""
+        """Let the next request survey the pool again, however recent the last survey is."""
         self.surveyed_at = -math.inf
         self._pool.changed = True
 
     def survey(self, now_ms: float) -> None:
-        """Take the means over the engines that are up."""
+        """Update the means over the engines that are up."""
         pool = self._pool
         self.surveyed_at = now_ms
         pool.changed = False
         for engine in pool.up:
             engine.warm_up_progress = self._slow_start.warm_up_progress(engine, now_ms)
             if engine.warm_up_progress < 1:
-                # Its progress goes on without an event.
+                # The warm-up progresses without an event.
                 pool.changed = True
         reporting = [engine for engine in pool.up if engine.has_reported]
         self._survey_others(reporting, now_ms)
@@ -115,7 +116,7 @@
             self._median_latency_factor = 0.0
 
     def _survey_others(self, reporting: list[Engine], now_ms: float) -> None:
-        """Take the means of what other brokers use, each report by its freshness."""
+        """Update the mean threads of other brokers, with each report weighted by its freshness."""
         warm_weight = 0.0
         warm_threads = 0.0
         warming_weight = 0.0
@@ -135,16 +136,16 @@
     def observe_report(
         self, engine: Engine, report: LoadReport, threads_per_attempt: float, now_ms: float
     ) -> float | None:
-        """Learn what other brokers use from a load report.
+        """Update the threads of other brokers by a load report.
 
         Args:
             engine: The engine that reports.
             report: Its report.
-            threads_per_attempt: Mean threads of an attempt, for what it reports in attempts.
+            threads_per_attempt: Mean threads of an attempt, to convert reported attempts.
             now_ms: The time.
 
         Returns:
-            The threads that the engine reports; None where the report does not tell them.
+            The threads that the engine reports; None if the report does not contain them.
         """
         if report.in_flight is not None:
             threads = report.in_flight * threads_per_attempt
@@ -164,7 +165,7 @@
         return threads
 
     def observe_answer(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn the latency factor of an engine from a successful attempt."""
+        """Update the latency factor of an engine by a successful attempt."""
         engine = attempt.engine
         elapsed_ms = max(event.elapsed_ms, MIN_ELAPSED_MS)
         log_factor = math.log(elapsed_ms / max(attempt.expected_ms, MIN_ELAPSED_MS))
--- a/umberusher/decisions/open_requests.py
+++ b/umberusher/decisions/open_requests.py
@@ -1,4 +1,4 @@
-"""The open requests, and the one final answer that each of them gets."""
+"""The open requests, and the single final answer that each of them receives."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """Requests from their arrival to their final answer.
 
     Attributes:
-        requests: By id.
+        requests: The open requests by id.
     """
 
     def __init__(
@@ -26,18 +26,18 @@
         self._actions = actions
 
     def add(self, request: Request) -> None:
-        """Open a request that has arrived."""
+        """Add a request that has arrived."""
         self.requests[request.id] = request
 
     def end(self, request: Request) -> None:
-        """Drop a request that is owed nothing; its attempts in flight stay counted."""
+        """Close a request that needs no further answer; its attempts in flight stay counted."""
         request.ended = True
         if self.requests.pop(request.id, None):
             self._queue.remove(request)
         self._key_order.leave_if_done(request)
 
     def answer(self, request: Request) -> None:
-        """Give the final answer: rejected where nothing was done, failed elsewhere."""
+        """Send the final answer: rejected if a retry is harmless, failed otherwise."""
         if request.ended:
             return
         if self._may_reject(request):
--- a/umberusher/decisions/outlier_detection.py
+++ b/umberusher/decisions/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: engines that fail are ejected for a time."""
+"""Outlier detection: engines that fail are ejected for a limited time."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 MIN_EJECTION_MS = 500.0
 MAX_EJECTION_MS = 8_000.0
 MAX_COUNTED_EJECTIONS = 10
-# An engine that was overloaded, or broke a connection, is left alone for this long. One that is
-# dead shows at the next connection.
+# An engine that was overloaded or reset a connection is ejected for this long. If it is dead, the
+# next attempt to connect fails.
 OVERLOAD_PAUSE_MS = 150.0
-# Errors in a row that eject, each on a request that another engine then served.
+# An engine is ejected after this many consecutive errors on requests that another engine served.
 MAX_ATTRIBUTED_ERRORS = 3
-# An engine that leaves a health check unanswered is left alone until it answers one, or for this.
+# An engine that does not answer a health check is ejected until it answers one, or for this long.
 UNRESPONSIVE_EJECTION_MS = 2_500.0
 
 
@@ -24,7 +24,7 @@
     """Ejections of engines, and the panic threshold.
 
     Attributes:
-        panic: Whether over half of the engines are ejected, so that ejections are not believed.
+        panic: Whether over half of the engines are ejected, so that ejections are ignored.
     """
 
     def __init__(self, pool: EnginePool) -> None:
@@ -32,24 +32,24 @@
         self._pool = pool
 
     def ejected(self, now_ms: float) -> set[str]:
-        """Return the ids of the engines that are up but get no requests; it changes nothing."""
+        """Return the ids of the engines that are up but receive no requests."""
         if self.panic:
             return set()
         return {engine.id for engine in self._pool.up if engine.ejected_until > now_ms}
 
     def update_panic(self, now_ms: float) -> None:
-        """Compare the ejected engines with the panic threshold."""
+        """Compare the number of ejected engines with the panic threshold."""
         up = self._pool.up
         ejected_count = sum(engine.ejected_until > now_ms for engine in up)
         self.panic = 2 * ejected_count > len(up)
 
     def observe_success(self, engine: Engine) -> None:
-        """Clear what was held against an engine."""
+        """Reset the failure counts of an engine."""
         engine.consecutive_ejections = 0
         engine.attributed_errors = 0
 
     def attribute_errors(self, request: Request, now_ms: float) -> None:
-        """Count errors on a request against their engines, now that another has served it."""
+        """Attribute the errors on a request to their engines, once another engine has served it."""
         for engine in request.failing_engines:
             engine.attributed_errors += 1
             if engine.attributed_errors >= MAX_ATTRIBUTED_ERRORS:
@@ -58,7 +58,7 @@
     def observe_failure(
         self, request: Request, engine: Engine, outcome: AttemptOutcome, now_ms: float
     ) -> None:
-        """Judge an engine by an attempt that failed there."""
+        """Record a failed attempt, and eject its engine where the outcome calls for it."""
         if outcome is AttemptOutcome.NO_CONNECTION:
             self._eject(engine, now_ms)
         elif outcome in (AttemptOutcome.OVERLOADED, AttemptOutcome.RESET):
@@ -67,10 +67,10 @@
             request.failing_engines.append(engine)
 
     def observe_health_check(self, engine: Engine, outcome: AttemptOutcome, now_ms: float) -> None:
-        """Eject an engine that leaves a health check unanswered, until it answers one.
+        """Eject an engine that does not answer a health check, until it answers one.
 
-        Guards against hung engines: they take requests and answer none, and their last load report
-        looks well.
+        A hung engine accepts requests and answers none, while its last load report still shows
+        little load.
         """
         if outcome is AttemptOutcome.TIMED_OUT:
             engine.unresponsive = True
--- a/umberusher/decisions/placement.py
+++ b/umberusher/decisions/placement.py
@@ -15,14 +15,14 @@
 from umberusher.decisions.retry_budget import RetryBudget
 from umberusher.decisions.stalled_attempts import StalledAttempts
 
-# Placement attempts of a class that may be in vain within one round.
+# Failed placement attempts for each class in one pass over the queue.
 MAX_PLACEMENT_ATTEMPTS = 4
-# The same over all brokers: with many of them, each tries fewer.
+# The same limit summed over all brokers: with many brokers, each makes fewer attempts.
 MAX_FLEET_PLACEMENT_ATTEMPTS = 256
 
 
 class Placement:
-    """Tries queued requests in their order."""
+    """Sends queued requests to engines, in the order of the queue."""
 
     def __init__(
         self,
@@ -52,7 +52,10 @@
         self._actions = actions
 
     def place_queued(self, now_ms: float) -> None:
-        """Send every queued request that has an engine, a few of each class in vain at most."""
+        """Send every queued request for which an engine is found.
+
+        A class is skipped after a few failed placement attempts.
+        """
         if not self._queue.requests:
             return
         misses: dict[str, int] = {}
@@ -72,7 +75,7 @@
                 misses[class_name] = class_misses + 1
 
     def _send(self, request: Request, engine: Engine, now_ms: float) -> bool:
-        """Send an attempt; False where the rules do not allow it."""
+        """Send an attempt; return False if the rules do not allow it."""
         if not self._eligibility.may_send(request, engine, now_ms):
             return False
         expected_ms = self._estimates.expected_ms(request)
--- a/umberusher/decisions/priorities.py
+++ b/umberusher/decisions/priorities.py
@@ -1,4 +1,4 @@
-"""Priorities: the order in which an engine serves what waits there."""
+"""Priorities: the order in which an engine serves its queued requests."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from umberusher.decisions.request import Request
 from umberusher.decisions.settings import Limits
 
-# The wire's priorities, from the last served to the first.
+# Priorities on the wire, from the one served last to the one served first.
 PAST_OBJECTIVE = 0
 ORDINARY = 1
 LOCKING = 2
 SHORT = 3
-# How much memory a request gets is the engine's choice.
+# On the wire, 0 lets the engine choose the memory of a request.
 ENGINE_CHOOSES_MB = 0.0
 
 
 class Priorities:
-    """The priorities announced to the broker, where engines heed them."""
+    """Sets the priorities of requests, where engines support them."""
 
     def __init__(self, limits: Limits, estimates: LatencyEstimates, actions: list[Action]) -> None:
         self._limits = limits
@@ -30,12 +30,12 @@
             self.set(request, self._priority(request))
 
     def lower(self, request: Request) -> None:
-        """Announce the last priority for a request past its objective."""
+        """Announce the lowest priority for a request past its objective."""
         if self._limits.set_priority:
             self.set(request, PAST_OBJECTIVE)
 
     def set(self, request: Request, priority: int) -> None:
-        """Announce a priority that differs from the one announced before."""
+        """Announce a priority if it differs from the one announced before."""
         if request.announced_priority != priority:
             request.announced_priority = priority
             self._actions.append(SetPriority(request.id, ENGINE_CHOOSES_MB, priority))
--- a/umberusher/decisions/request.py
+++ b/umberusher/decisions/request.py
@@ -10,12 +10,12 @@
 
 
 class Attempt:
-    """One send of a request to an engine.
+    """One attempt to run a request on an engine.
 
     Attributes:
-        expected_ms: Time that its answer was expected to take when it was sent.
-        cancelled: Whether its cancellation has been asked for.
-        progress: Fraction done, by the engine's last word.
+        expected_ms: Its expected latency when it was sent.
+        cancelled: Whether its cancellation has been requested.
+        progress: Fraction done, by the engine's last progress report.
     """
 
     __slots__ = ("cancelled", "engine", "expected_ms", "progress", "request", "sent_at")
@@ -33,25 +33,25 @@
     """One request, from its arrival until its final answer and its last attempt's end.
 
     Attributes:
-        work_hint_ms: The client's word on its work; 0 where there is none.
-        key: Order key, where its class keeps an order.
-        priority_weight: Weight of its answer, less beyond its tenant's quota.
-        attempts_sent: Attempts so far; the next one's number.
+        work_hint_ms: The client's hint of its work; 0 if there is none.
+        key: Order key; None if its class is not ordered.
+        priority_weight: Weight of its answer, reduced beyond its tenant's quota.
+        attempts_sent: Number of attempts so far, which is the number of the next one.
         abandoned_attempts: Attempts that were cancelled to be repeated elsewhere.
         in_flight: Attempts that have not ended, by number.
         unresolved: Ended attempts that may have run.
-        ended: Whether it has had its final answer, or is owed none.
-        streaming: Whether its answer has begun.
-        past_objective: Whether its latency objective can't be met any more.
+        ended: Whether its final answer has been sent, or none is needed.
+        streaming: Whether its answer has started.
+        past_objective: Whether it can no longer meet its latency objective.
         queued: Whether it is in the request queue.
-        queue_rank: Its place in the request queue, least first.
+        queue_rank: Sort key in the request queue, in ascending order.
         avoided_engine: Engine of its last attempt.
         failing_engines: Engines that answered it with an error.
-        announced_priority: Priority last told to the broker; -1 for none.
-        counts_for_retries: Whether it already widens the retry budget.
-        checked_engines: Engines whose load was asked for on its behalf.
-        health_check_until: Until when it waits for the last of them.
-        slow_start_grant: Warming-up engine that has credit set aside for it.
+        announced_priority: Priority last announced to the broker; -1 for none.
+        counts_for_retries: Whether it already counts towards the retry budget.
+        checked_engines: Engines whose health was checked for it.
+        health_check_until: Time until which it waits for the last of these checks.
+        slow_start_grant: Warming-up engine with credit reserved for it.
     """
 
     __slots__ = (
--- a/umberusher/decisions/request_queue.py
+++ b/umberusher/decisions/request_queue.py
@@ -1,4 +1,4 @@
-"""Request queue: the requests that wait for an engine, in the order in which they are tried."""
+"""Request queue: the requests that wait for an engine, in the order of placement."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class RequestQueue:
-    """Queued requests: those within their objective first, then by weight for the work."""
+    """Queued requests: those within their objective first, then by weight per work."""
 
     def __init__(self, estimates: LatencyEstimates) -> None:
         self.requests: list[Request] = []
         self._estimates = estimates
 
     def add(self, request: Request) -> None:
-        """Queue a request behind those of the same rank."""
+        """Queue a request after those of the same rank."""
         if self._mark_queued(request):
             bisect.insort_right(self.requests, request, key=_rank)
 
     def add_first(self, request: Request) -> None:
-        """Queue a request that is tried again before those of the same rank."""
+        """Queue a request for a retry before those of the same rank."""
         if self._mark_queued(request):
             bisect.insort_left(self.requests, request, key=_rank)
 
@@ -40,7 +40,7 @@
         return True
 
     def remove(self, request: Request) -> None:
-        """Take out a request if it is queued."""
+        """Remove a request if it is queued."""
         if request.queued:
             request.queued = False
             self.requests.remove(request)
--- a/umberusher/decisions/request_review.py
+++ b/umberusher/decisions/request_review.py
@@ -1,4 +1,4 @@
-"""Review of requests whose time has come: answered, given up, or kept past their objective."""
+"""Review of due requests: each is answered, abandoned or kept past its objective."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from umberusher.decisions.request_queue import RequestQueue
 from umberusher.decisions.settings import Idempotency, Settings
 
-# Final answers go out this long before the client's deadline, plus two rounds of the broker.
+# Final answers are sent this long before the client's deadline, plus two ticks of the broker.
 ANSWER_MARGIN_MS = 15.0
-# How often queued requests are reviewed and tried again at least: a review may be this late.
+# Longest time between two reviews of queued requests: a review may be this late.
 REVIEW_INTERVAL_MS = 20.0
-# A queued request is given up when this fraction of its expected latency no longer fits.
+# A queued request is abandoned when this fraction of its expected latency no longer fits.
 MIN_EXPECTED_FRACTION = 0.8
-# Least fraction of weight left after the objective for which a queued request is still kept.
+# A queued request past its objective is kept if its late weight is at least this.
 MIN_LATE_WEIGHT = 0.15
-# Fraction done above which an attempt past its objective is let run.
+# An attempt past its objective continues if a larger fraction of it is done.
 NEARLY_DONE_FRACTION = 0.5
-# A reviewed request is not reviewed again within this time: clocks of brokers round.
+# A request is not reviewed again within this time: the clocks of brokers are rounded.
 MIN_DELAY_MS = 1.0
 
 
 class RequestReview:
-    """When each open request is reviewed next, and what is done with it then."""
+    """Schedules and performs the reviews of open requests."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._arrival_count = 0
 
     def add(self, request: Request) -> None:
-        """Plan the first review of a request that has arrived."""
+        """Schedule the first review of a request that has arrived."""
         self._arrival_count += 1
         heapq.heappush(self._due, (self._due_at(request), self._arrival_count, request))
 
@@ -66,9 +66,9 @@
         return due[0][0] if due else math.inf
 
     def review(self, now_ms: float) -> None:
-        """Review all that is due."""
+        """Review all due requests."""
         self._key_order.forget_idle(now_ms)
-        # The expected latency of a queued request may have grown since its review was planned.
+        # The expected latency of a queued request may have grown since its review was scheduled.
         for request in [item for item in self._queue.requests if now_ms >= self._due_at(item)]:
             self._end_or_lower(request, now_ms)
         due = self._due
@@ -83,11 +83,11 @@
                 heapq.heappush(due, (due_at, arrival_number, request))
 
     def _answer_by(self, request: Request) -> float:
-        """Return when the final answer must go out."""
+        """Return the time by which the final answer must be sent."""
         return request.deadline - ANSWER_MARGIN_MS - self._send_delay_ms - REVIEW_INTERVAL_MS
 
     def _due_at(self, request: Request) -> float:
-        """Return when a request must be answered, or misses its objective."""
+        """Return the time when a request must be answered, or misses its objective."""
         needed_ms = 0.0
         if not request.in_flight:
             needed_ms = MIN_EXPECTED_FRACTION * self._estimates.expected_ms(request)
@@ -98,14 +98,14 @@
         return min(self._answer_by(request), until - needed_ms)
 
     def _end_or_lower(self, request: Request, now_ms: float) -> None:
-        """Answer what no longer fits its deadline at once, not when the deadline comes."""
+        """Answer a request at once if it no longer fits its deadline; else keep or lower it."""
         if request.past_objective or now_ms >= self._answer_by(request):
             self._open_requests.answer(request)
         else:
             self.handle_missed_objective(request)
 
     def handle_missed_objective(self, request: Request) -> None:
-        """Keep a request for what a late answer is worth, else end it."""
+        """Keep a request if a late answer has enough weight, else end it."""
         request.past_objective = True
         if request.queued:
             self._queue.remove(request)
@@ -119,7 +119,7 @@
             self._priorities.lower(request)
 
     def _give_up(self, request: Request) -> None:
-        """Cancel attempts far from done, and answer: timely requests need their threads."""
+        """Cancel attempts that are far from done, to free their threads for timely requests."""
         if request.query_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return
         if any(attempt.progress > NEARLY_DONE_FRACTION for attempt in request.in_flight.values()):
--- a/umberusher/decisions/retry_budget.py
+++ b/umberusher/decisions/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: how many retries all requests of a time window allow."""
+"""Retry budget: the number of retries allowed by the requests of a time window."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class RetryBudget:
-    """The retries of the last window against the requests that it has served or taken in.
+    """Compares the retries of the last window with its eligible requests.
 
-    Both windows are closed at both ends, and a retry counts for as long as it may have waited for
-    its connection: engines count when it reaches them.
+    Both windows are closed at both ends. Retries are kept for the connect timeout longer than the
+    window, because engines count a retry when it reaches them, after its connection is made.
 
     Attributes:
         requests: Arrival times of the eligible requests of the window, in order.
-        retries: Times of its retries, in order.
+        retries: Times of the retries of the window, in order.
     """
 
     def __init__(self, rules: Rules, connect_timeout_ms: float) -> None:
@@ -32,7 +32,7 @@
             self.allows_retry(now_ms)
 
     def count_served(self, arrived_at: float) -> bool:
-        """Count a request that becomes eligible once it is served; False where no rule applies."""
+        """Count a request that becomes eligible once served; return False without a budget."""
         if self._rules.retry_budget_window_ms is None:
             return False
         bisect.insort(self.requests, arrived_at)
@@ -44,7 +44,7 @@
             self.retries.append(now_ms)
 
     def allows_retry(self, now_ms: float) -> bool:
-        """Return whether the window has one more retry left; forget what is older than it."""
+        """Return whether the window allows one more retry; discard the entries older than it."""
         rules = self._rules
         if rules.retry_budget_window_ms is None:
             return True
--- a/umberusher/decisions/settings.py
+++ b/umberusher/decisions/settings.py
@@ -8,7 +8,7 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a request does."""
+    """The effect of repeating a request."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -16,7 +16,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which engines drop the repeat of a keyed request."""
+    """Which engines drop a repeat of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class QueryClass:
-    """One class of query and what is promised for it."""
+    """One class of queries with its objectives and constraints."""
 
     name: str
     latency_objective_ms: float
@@ -80,13 +80,13 @@
                 f"not {self.deduplication_scope!r}"
             )
         if self.idempotency is Idempotency.KEYED and self.deduplication_window_ms is None:
-            # The settings object's own name for the field: this line reaches its author.
+            # The message names the field as the settings object does, for the operator's sake.
             raise ValueError(f"{owner}.memory_span_ms must be given for a keyed class")
 
 
 @dataclass(slots=True)
 class EngineKind:
-    """A kind of machine: what its engines have."""
+    """A kind of machine and the resources of its engines."""
 
     name: str
     cores: float
@@ -99,7 +99,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """A tenant and its quota of the service."""
+    """A tenant and its request quota."""
 
     name: str
     quota_per_s: float | None = None
@@ -127,7 +127,7 @@
 
 @dataclass(slots=True)
 class Rules:
-    """The platform's rules; one that is None does not apply."""
+    """The rules of the platform; a rule that is None does not apply."""
 
     drain_grace_ms: float | None = None
     warm_up_floor: float | None = None
@@ -146,11 +146,11 @@
 
 @dataclass(slots=True)
 class Settings:
-    """All that a load balancer is given when it starts.
+    """The complete settings of a load balancer.
 
     Attributes:
-        broker_count: Brokers that serve the same engines.
-        broker_index: This one's place among them, from 0.
+        broker_count: Number of brokers that use the same engines.
+        broker_index: Index of this broker among them, from 0.
         connect_timeout_ms: The longest that an attempt waits for its connection.
     """
 
--- a/umberusher/decisions/settings_reader.py
+++ b/umberusher/decisions/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads a settings object, as operators write it, into settings."""
+"""Parses a settings object, as operators write it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def _pick(source: dict[str, Any], **names: str) -> dict[str, Any]:
-    """Return the fields that are there, by our names for them."""
+    """Return the fields that are present, renamed to those of the settings classes."""
     return {
         field_name: source[source_name]
         for field_name, source_name in names.items()
@@ -30,7 +30,7 @@
 
 
 def _item(values: object, index: int, name: str) -> dict[str, Any]:
-    """Return one item of a list of the domain, as a field; nothing where the list is too short."""
+    """Return one item of a list of the domain as a field; empty if the list is too short."""
     if isinstance(values, list) and index < len(values):
         return {name: values[index]}
     return {}
@@ -62,7 +62,7 @@
 
 
 def _engine_kinds(names: list[str], domain: dict[str, Any]) -> tuple[EngineKind, ...]:
-    """Return the kinds of engine whose cores the domain tells."""
+    """Return the kinds of engine whose cores the domain specifies."""
     kinds = []
     for index, name in enumerate(names):
         sizes = _item(domain.get("size_cores"), index, "cores")
@@ -132,10 +132,10 @@
 
 
 def read_settings(text: str) -> Settings:
-    """Return the settings that a JSON text holds.
+    """Return the settings in a JSON text.
 
     Raises:
-        SettingsError: The text is no settings object; the error names the field where it can.
+        SettingsError: The text is not a valid settings object; the error names the field if known.
     """
     try:
         raw = json.loads(text)
--- a/umberusher/decisions/settings_schema.py
+++ b/umberusher/decisions/settings_schema.py
@@ -1,7 +1,7 @@
-"""The form of a settings object: each field that is read, with what it must be.
+"""The schema of a settings object: each field that is read, with its valid values.
 
-Guards against a text in place of true or false: any text would pass for true, and a "no" allow
-what is forbidden. Fields that are not named here are skipped.
+A text in place of true or false is rejected: otherwise any text would count as true, and "no" would
+enable a forbidden feature. Fields that are not listed here are ignored.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from umberusher.decisions.settings import DeduplicationScope, Idempotency
 
-# Longest part of a wrong value that an error repeats.
+# An error quotes at most this many characters of an invalid value.
 MAX_QUOTED_CHARACTERS = 40
 
 
@@ -21,10 +21,10 @@
 
 
 class SettingsFieldError(SettingsError):
-    """A field of the settings object is not of its form.
+    """A field of the settings object does not match its schema.
 
     Attributes:
-        place: The field as the operator wrote it.
+        place: Path of the field in the settings object.
         problem: What is wrong with it.
     """
 
@@ -35,7 +35,7 @@
 
 
 class FieldSchema:
-    """What a field must be: in words, and as a test."""
+    """The valid values of a field, as a description and a predicate."""
 
     __slots__ = ("accepts", "description")
 
@@ -49,7 +49,7 @@
 
 
 def _number(low: float, high: float = math.inf) -> FieldSchema:
-    """Return the form of a finite number within bounds."""
+    """Return the schema of a finite number within bounds."""
 
     def accepts(value: object) -> bool:
         return (
@@ -63,7 +63,7 @@
 
 
 def _integer(low: float) -> FieldSchema:
-    """Return the form of a whole number of at least ``low``."""
+    """Return the schema of a whole number of at least ``low``."""
     number = _number(low)
     return FieldSchema(
         f"a whole number {_bounds(low, math.inf)}",
@@ -76,12 +76,12 @@
 
 
 def _one_of(*values: str) -> FieldSchema:
-    """Return the form of one word of several."""
+    """Return the schema of one of several words."""
     return FieldSchema(f"one of {', '.join(values)}", lambda value: value in values)
 
 
 def _list_of(item: FieldSchema) -> FieldSchema:
-    """Return the form of a list of items of one form."""
+    """Return the schema of a list whose items match one schema."""
     return FieldSchema(
         f"a list, each of it {item.description}",
         lambda value: isinstance(value, list) and all(map(item.accepts, value)),
@@ -95,7 +95,7 @@
 _FROM_0 = _number(0)
 _FROM_0_TO_1 = _number(0, 1)
 
-# In the order in which they are checked: the first that is wrong is the one that is told.
+# In the order in which they are checked: the error names the first invalid field.
 _FIELD_SCHEMAS: dict[str, FieldSchema] = {
     "grades[].name": _TEXT,
     "grades[].aim_ms": _FROM_0,
@@ -163,7 +163,7 @@
 
 
 def _find(value: object, names: list[str], place: str) -> Iterator[tuple[str, Any]]:
-    """Yield the places that a field's path stands for, and what is there."""
+    """Yield the location and the value of each field that a path matches."""
     if not names:
         yield place, value
         return
@@ -186,7 +186,7 @@
     """Check every field of a settings object.
 
     Raises:
-        SettingsFieldError: The first field that is missing or not of its form.
+        SettingsFieldError: A field is missing or invalid; the error names the first one.
     """
     for path, schema in _FIELD_SCHEMAS.items():
         for place, value in _find(raw, path.split("."), ""):
--- a/umberusher/decisions/slow_start.py
+++ b/umberusher/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what an engine that warms up may be sent by all brokers together."""
+"""Slow start: limits what all brokers together send to an engine that is warming up."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from umberusher.decisions.request import Request
 from umberusher.decisions.settings import Rules
 
-# Fraction of the engine's budget that the brokers hand out, and windows of it that may be saved
-# up: both within one window are the whole budget.
+# Fraction of an engine's budget that the brokers grant as credit, and number of windows whose
+# credit may be saved. Both spent within one window are the whole budget.
 BUDGET_FRACTION = 0.65
 MAX_SAVED_WINDOWS = 0.5
-# The largest request that a warming-up engine is sent, as a fraction of the whole budget.
+# Largest request that may be sent to a warming-up engine, as a fraction of the whole budget.
 MAX_REQUEST_FRACTION = 0.9
 # Fraction of a core's output that counts as capacity.
 CAPACITY_FRACTION = 0.85
@@ -23,8 +23,9 @@
 class SlowStart:
     """Slow-start credit of warming-up engines.
 
-    The brokers that have an engine in their subset share its budget of calls. What is too little
-    for a call of its own is staked on a draw, so that the sum over all brokers keeps the budget.
+    The brokers that have an engine in their subset share its budget of calls. A credit that is too
+    small for one call is spent on a random draw that wins in proportion to it, so that the expected
+    sum over all brokers stays within the budget.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         return min(self._warm_up_floor + (1 - self._warm_up_floor) * elapsed, 1.0)
 
     def is_budgeted(self, engine: Engine, now_ms: float) -> bool:
-        """Return whether the rules bound what all brokers may send an engine now."""
+        """Return whether the rules currently limit what all brokers may send to an engine."""
         return (
             self._budgeted
             and engine.started_ms is not None
@@ -60,7 +61,7 @@
         )
 
     def may_grant(self, request: Request, engine: Engine, now_ms: float) -> bool:
-        """Return whether it is worth a try to get credit for a request; it changes nothing."""
+        """Return whether ``grant`` could succeed for a request; this changes no state."""
         if not self.is_budgeted(engine, now_ms):
             return True
         share = self._share_calls(engine, self._window_work_ms(engine, now_ms))
@@ -68,7 +69,7 @@
         return cost > MAX_SAVED_WINDOWS * share or self._credit_calls(engine, share, now_ms) > cost
 
     def grant(self, request: Request, engine: Engine, now_ms: float) -> bool:
-        """Set aside credit for a request that is about to be sent; False where there is none."""
+        """Reserve credit for a request that is about to be sent; return False if there is none."""
         if not self.is_budgeted(engine, now_ms):
             return True
         window_work_ms = self._window_work_ms(engine, now_ms)
@@ -77,7 +78,7 @@
         share = self._share_calls(engine, window_work_ms)
         cost = self._cost_calls(request)
         credit = self._credit_calls(engine, share, now_ms)
-        # A broker whose share could never save up such a cost wins it by lot instead.
+        # A broker whose share is too small to ever save this cost draws for it at random instead.
         by_lottery = cost > MAX_SAVED_WINDOWS * share
         granted = credit > cost * (self._rng.random() if by_lottery else 1.0)
         engine.credit_updated_at = now_ms
@@ -87,7 +88,7 @@
         return granted
 
     def _window_work_ms(self, engine: Engine, now_ms: float) -> float:
-        """Return the work that overloads the engine where it comes within one window."""
+        """Return the work that overloads the engine if it arrives within one window."""
         return (
             self._overload_multiple
             * CAPACITY_FRACTION
@@ -108,10 +109,10 @@
         )
 
     def _credit_calls(self, engine: Engine, share: float, now_ms: float) -> float:
-        """Return the calls that this broker has saved up for the engine."""
+        """Return the calls that this broker's saved credit allows on the engine."""
         gained = share * (now_ms - engine.credit_updated_at) / (self._window_ms or 1.0)
         return min(engine.slow_start_credit + gained, MAX_SAVED_WINDOWS * share)
 
     def _cost_calls(self, request: Request) -> float:
-        """Return what a request costs: half as a call, half by its work."""
+        """Return the cost of a request in calls: half for the call, half by its work."""
         return (1 + self._estimates.work_ms(request) / self._estimates.mean_work_ms) / 2
--- a/umberusher/decisions/stalled_attempts.py
+++ b/umberusher/decisions/stalled_attempts.py
@@ -1,4 +1,4 @@
-"""Stalled attempts: whether an answer that takes long still comes."""
+"""Stalled attempts: the probability that an overdue answer never arrives."""
 
 from __future__ import annotations
 
@@ -6,24 +6,27 @@
 from umberusher.decisions.latency_estimates import LatencyEstimates
 from umberusher.decisions.request import Attempt, Request
 
-# An attempt is long after this many times its expected latency, and after this at least.
+# An attempt is long after this multiple of its expected latency, which counts as at least the
+# minimum.
 LONG_FACTOR = 10.0
 MIN_EXPECTED_MS = 30.0
-# Weight of a long attempt's end in the belief; fraction of it that each other answer takes.
+# Weight of the end of a long attempt in the stall probability; fraction by which each other answer
+# lowers it.
 LONG_WEIGHT = 0.15
 FADE_FRACTION = 0.002
-# Belief from which a key no longer waits for an answer till its client gives up.
+# From this probability on, a key no longer waits for an answer until the client gives up.
 TIMEOUT_STALL_PROBABILITY = 0.3
-# How long it waits then: times the expected latency, and times the latency objective.
+# Attempt timeout from then on: the larger of these multiples of the expected latency and of the
+# latency objective.
 TIMEOUT_EXPECTED_FACTOR = 8.0
 TIMEOUT_OBJECTIVE_FACTOR = 1.5
 
 
 class StalledAttempts:
-    """The belief that an answer which takes long never comes, from what clients saw out.
+    """Estimates how likely an overdue answer never arrives.
 
     Attributes:
-        belief: From 0, all long answers come, to 1.
+        stall_probability: 0 if all overdue answers arrive, 1 if none does.
     """
 
     def __init__(self, estimates: LatencyEstimates) -> None:
@@ -31,7 +34,7 @@
         self._estimates = estimates
 
     def observe_end(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn from an attempt that was answered, or that its client waited for to the end."""
+        """Update the probability by an attempt that succeeded or timed out at the deadline."""
         timed_out_at_deadline = event.outcome is AttemptOutcome.TIMED_OUT and event.request_closed
         succeeded = event.outcome is AttemptOutcome.SUCCEEDED
         is_long = event.elapsed_ms > LONG_FACTOR * max(attempt.expected_ms, MIN_EXPECTED_MS)
@@ -41,10 +44,10 @@
             self.stall_probability *= 1 - FADE_FRACTION
 
     def timeout_ms(self, request: Request, expected_ms: float) -> float | None:
-        """Return how long the key of a request waits for it; None: until its client gives up.
+        """Return the timeout of an attempt; None: it lasts until the client gives up.
 
-        Guards a key whose answers are lost. Elsewhere a slow attempt is let run: what is cut may
-        have run and can't be tried again.
+        The timeout keeps a lost answer from blocking all later requests of its key. Other slow
+        attempts have none: an attempt that is cut off may have run, so it can't be retried.
         """
         if request.key is None or self.stall_probability < TIMEOUT_STALL_PROBABILITY:
             return None
--- a/umberusher/decisions/tenant_quotas.py
+++ b/umberusher/decisions/tenant_quotas.py
@@ -1,17 +1,17 @@
-"""Tenant quotas: requests beyond a tenant's quota weigh less."""
+"""Tenant quotas: requests beyond a tenant's quota have a lower priority weight."""
 
 from __future__ import annotations
 
 from umberusher.decisions.settings import Settings
 
-# Seconds of its quota that a tenant may have saved up: short bursts are no surge.
+# Seconds of its quota that a tenant may save, so that short bursts stay within the quota.
 BURST_S = 1.0
-# With many brokers a part may be less than one request: it must not be nothing.
+# With many brokers, the share of one may be less than a request; its bucket must still hold one.
 MIN_BURST_REQUESTS = 1.0
 
 
 class Quota:
-    """A token bucket: this broker's part of one tenant's quota."""
+    """A token bucket with this broker's share of one tenant's quota."""
 
     __slots__ = ("available", "rate_per_s", "updated_at")
 
@@ -33,9 +33,9 @@
         self._over_quota_weight = settings.over_quota_weight
 
     def consume(self, tenant: str | None, now_ms: float) -> float:
-        """Take one request and return the factor of its priority weight.
+        """Count one request against its quota; return the factor for its priority weight.
 
-        A request of no known tenant keeps its whole weight.
+        A request without a known tenant keeps its full weight.
         """
         if tenant is None:
             return 1.0
--- a/umberusher/decisions/wake_up_timer.py
+++ b/umberusher/decisions/wake_up_timer.py
@@ -1,4 +1,4 @@
-"""The timer that brings the load balancer back to what waits."""
+"""The timer that wakes up the load balancer for queued and due requests."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from umberusher.decisions.request_review import REVIEW_INTERVAL_MS, RequestReview
 
 TIMER_TOKEN = "tick"
-# Queued requests are tried again after this fraction of the mean gap, within the bounds of
-# ``REVIEW_INTERVAL_MS`` and this: little traffic, little haste.
+# Placement of queued requests is retried after ``GAP_FRACTION`` of the mean gap between arrivals,
+# bounded by ``REVIEW_INTERVAL_MS`` and ``MAX_INTERVAL_MS``: less traffic needs fewer retries.
 MAX_INTERVAL_MS = 100.0
 GAP_FRACTION = 0.35
-# Timers are not asked for closer than this: clocks of brokers round.
+# No shorter timer is requested, because the clocks of brokers are rounded.
 MIN_DELAY_MS = 1.0
 
 
 class WakeUpTimer:
-    """Keeps one timer ahead while anything is queued or under review."""
+    """Keeps a timer set while any request is queued or due for review."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._wake_up_at = -math.inf
 
     def set(self, now_ms: float) -> None:
-        """Ask for a timer, unless one fires before it is needed or nothing waits."""
+        """Request a timer, unless one fires in time or no request waits."""
         needed_at = self._review.next_due_at()
         if self._queue.requests:
             interval_ms = max(REVIEW_INTERVAL_MS, GAP_FRACTION * self._arrivals.mean_gap_ms)
