--- a/tests/decisions/bench.py
+++ b/tests/decisions/bench.py
@@ -35,7 +35,9 @@
 ORDERED = QueryClass(
     "o", 4000, 9000, 5, Idempotency.IDEMPOTENT, ordered_by_key=True, late_weight=1.0
 )
-COLD = dict(warm_up_floor=0.4, warm_up_ms=10_000, overload_multiple=2, overload_window_ms=1000)
+WARM_UP_RULES = dict(
+    warm_up_floor=0.4, warm_up_ms=10_000, overload_multiple=2, overload_window_ms=1000
+)
 
 
 def keyed(scope: DeduplicationScope) -> QueryClass:
@@ -51,14 +53,14 @@
     )
 
 
-def make_settings(*classes: QueryClass, **more) -> Settings:
-    limits = more.pop("limits", Limits(max_attempts=4, set_priority=True))
+def make_settings(*classes: QueryClass, **kwargs) -> Settings:
+    limits = kwargs.pop("limits", Limits(max_attempts=4, set_priority=True))
     return Settings(
         classes=classes or (LOOKUP,),
         engine_kinds=(EngineKind("k", 8),),
         limits=limits,
-        broker_count=more.pop("brokers", 1),
-        **more,
+        broker_count=kwargs.pop("brokers", 1),
+        **kwargs,
     )
 
 
@@ -83,47 +85,49 @@
                 self.sent[action.request] = self.sent.get(action.request, 0) + 1
         return actions
 
-    def entry(self, engine: str, state=EndpointState.UP, **more) -> EndpointUpdate:
+    def entry(self, engine: str, state=EndpointState.UP, **kwargs) -> EndpointUpdate:
         return EndpointUpdate(
             engine,
             state,
-            kind=more.pop("kind", "k"),
-            zone=more.pop("zone", "z"),
-            cell=more.pop("cell", 0),
-            **more,
+            kind=kwargs.pop("kind", "k"),
+            zone=kwargs.pop("zone", "z"),
+            cell=kwargs.pop("cell", 0),
+            **kwargs,
         )
 
-    def list_engines(self, *engines: str, **more) -> list[Action]:
+    def list_engines(self, *engines: str, **kwargs) -> list[Action]:
         return self.feed(
-            EndpointListUpdate(tuple(self.entry(e, **more) for e in engines), complete=True)
+            EndpointListUpdate(tuple(self.entry(e, **kwargs) for e in engines), complete=True)
         )
 
-    def change(self, engine: str, state=EndpointState.UP, **more) -> list[Action]:
-        return self.feed(EndpointListUpdate((self.entry(engine, state, **more),)))
+    def change(self, engine: str, state=EndpointState.UP, **kwargs) -> list[Action]:
+        return self.feed(EndpointListUpdate((self.entry(engine, state, **kwargs),)))
 
-    def arrive(self, cls: str = "short", wait: float = 6000, **more) -> tuple[str, list[Action]]:
+    def arrive(
+        self, query_class: str = "short", timeout_ms: float = 6000, **kwargs
+    ) -> tuple[str, list[Action]]:
         self.count += 1
         name = f"r{self.count}"
-        return name, self.feed(RequestArrived(name, cls, self.now + wait, **more))
+        return name, self.feed(RequestArrived(name, query_class, self.now + timeout_ms, **kwargs))
 
     def finish(
         self,
         send: StartAttempt,
-        ending=AttemptOutcome.SUCCEEDED,
+        outcome=AttemptOutcome.SUCCEEDED,
         closed=None,
-        elapsed=100.0,
-        **more,
+        elapsed_ms=100.0,
+        **kwargs,
     ):
-        closed = ending is AttemptOutcome.SUCCEEDED if closed is None else closed
+        closed = outcome is AttemptOutcome.SUCCEEDED if closed is None else closed
         return self.feed(
             AttemptEnded(
                 send.request,
                 self.sent[send.request] - 1,
                 send.engine,
-                ending,
-                elapsed,
+                outcome,
+                elapsed_ms,
                 closed,
-                **more,
+                **kwargs,
             )
         )
 
@@ -138,6 +142,6 @@
         return actions
 
 
-def only(actions, kind):
+def of_type(actions, kind):
     """The actions of one kind."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/decisions/fleet_player.py
+++ b/tests/decisions/fleet_player.py
@@ -37,26 +37,44 @@
 from umberusher.endpoints.registry import EndpointRegistry
 from umberusher.protocol.discovery import WatchEvent
 
-CORES, CAPACITY = 8, 0.85
-SAFE, UNSAFE = Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT
-MIX = (  # class, its share, mean work in ms
-    (QueryClass("lookup", 500, 2500, 1, SAFE, objective_stretch=2, late_weight=0.1), 0.81, 125.0),
+CORES, CAPACITY_FRACTION = 8, 0.85
+IDEMPOTENT, NON_IDEMPOTENT = Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT
+QUERY_MIX = (  # class, its share, mean work in ms
+    (
+        QueryClass("lookup", 500, 2500, 1, IDEMPOTENT, objective_stretch=2, late_weight=0.1),
+        0.81,
+        125.0,
+    ),
     (
         QueryClass(
-            "report", 1500, 15_000, 10, SAFE, objective_stretch=2.5, late_weight=0.4, threads=2
+            "report",
+            1500,
+            15_000,
+            10,
+            IDEMPOTENT,
+            objective_stretch=2.5,
+            late_weight=0.4,
+            threads=2,
         ),
         0.13,
         3700,
     ),
     (
         QueryClass(
-            "load", 3000, 25_000, 8, UNSAFE, objective_stretch=2.5, late_weight=0.6, threads=2
+            "load",
+            3000,
+            25_000,
+            8,
+            NON_IDEMPOTENT,
+            objective_stretch=2.5,
+            late_weight=0.6,
+            threads=2,
         ),
         0.06,
         2350,
     ),
 )
-MEAN_WORK = sum(share * work for _, share, work in MIX)
+MEAN_WORK_MS = sum(share * work for _, share, work in QUERY_MIX)
 RULES = {
     "warm_up_floor": 0.35,
     "warm_up_ms": 15_000.0,
@@ -77,7 +95,7 @@
     load: float = 0.8  # of what all engines do when warm
     max_traffic_ratio: float = 4.0  # the most traffic of a broker over the least
     notification_delay_ms: Callable[[random.Random], float] = field(
-        default=lambda chance: 800 + 400 * chance.random()
+        default=lambda rng: 800 + 400 * rng.random()
     )
     outage_at_ms: float | None = None  # when all warm engines refuse from then on
     keepalive_ms: float = 15_000.0
@@ -89,32 +107,32 @@
     def budget(self, at_ms: float) -> float:
         """The calls of a window that begins then, after the start."""
         rules = self.rules
-        warmth = min(
+        warm_up_progress = min(
             rules["warm_up_floor"] + (1 - rules["warm_up_floor"]) * at_ms / rules["warm_up_ms"], 1.0
         )
         return (
             rules["overload_multiple"]
-            * CAPACITY
+            * CAPACITY_FRACTION
             * CORES
-            * warmth
+            * warm_up_progress
             * rules["overload_window_ms"]
-            / MEAN_WORK
+            / MEAN_WORK_MS
         )
 
 
 def simulate_fleet(fleet: Fleet, seed: int) -> dict[str, list[float]]:
     """When each cold engine got a call, in ms after its start."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     settings = Settings(
-        classes=tuple(cls for cls, _, _ in MIX),
+        classes=tuple(query_class for query_class, _, _ in QUERY_MIX),
         engine_kinds=(EngineKind("k", CORES),),
         broker_count=fleet.brokers,
         limits=Limits(max_attempts=6, health_checks=True),
         rules=Rules(**fleet.rules),
         keepalive_ms=fleet.keepalive_ms,
     )
-    brokers = [LoadBalancer(settings, chance.getrandbits(32)) for _ in range(fleet.brokers)]
-    routes = (
+    brokers = [LoadBalancer(settings, rng.getrandbits(32)) for _ in range(fleet.brokers)]
+    registries = (
         [
             EndpointRegistry(
                 lambda event, number=number: handle(number, event),
@@ -127,100 +145,119 @@
         else []
     )
     clock = 0.0
-    start, count = 100_000.0, itertools.count()
+    start, sequence = 100_000.0, itertools.count()
     cold, warm = [f"c{n}" for n in range(fleet.cold)], [f"w{n}" for n in range(fleet.warm)]
-    held = dict.fromkeys(cold + warm, 0)
-    got: dict[str, list[float]] = {name: [] for name in cold}
+    in_flight = dict.fromkeys(cold + warm, 0)
+    call_times: dict[str, list[float]] = {name: [] for name in cold}
     requests: dict[str, tuple[QueryClass, float]] = {}
     sent: dict[str, int] = {}
     queue: list[tuple[float, int, int, Event | WatchEvent | None]] = []
 
     def handle(number: int, event: Event) -> None:
         for action in brokers[number].handle(clock, event):
-            carry(number, clock, action)
+            apply_action(number, clock, action)
 
-    def listed(names: list[str], rev: int, **more) -> EndpointListUpdate | WatchEvent:
-        found = entries(names, **more)
+    def list_update(names: list[str], rev: int, **kwargs) -> EndpointListUpdate | WatchEvent:
+        found = entries(names, **kwargs)
         if not fleet.subset_only:
             return EndpointListUpdate(found, complete=rev == 1)
         return WatchEvent(rev, rev == 1, found, dict.fromkeys(names))
 
-    def plan(at: float, number: int, event: Event | WatchEvent | None) -> None:
-        heapq.heappush(queue, (at, next(count), number, event))
+    def schedule(at: float, number: int, event: Event | WatchEvent | None) -> None:
+        heapq.heappush(queue, (at, next(sequence), number, event))
 
-    def entries(names, **more) -> tuple[EndpointUpdate, ...]:
+    def entries(names, **kwargs) -> tuple[EndpointUpdate, ...]:
         return tuple(
-            EndpointUpdate(name, EndpointState.UP, kind="k", zone="z", **more) for name in names
+            EndpointUpdate(name, EndpointState.UP, kind="k", zone="z", **kwargs) for name in names
         )
 
-    def carry(number: int, now: float, action: Action) -> None:
+    def apply_action(number: int, now: float, action: Action) -> None:
         if isinstance(action, SetTimer):
-            plan(now + action.delay_ms, number, TimerFired(action.token))
+            schedule(now + action.delay_ms, number, TimerFired(action.token))
         elif isinstance(action, CheckHealth):
-            report = LoadReport(in_flight=float(held[action.engine]))
-            plan(
+            report = LoadReport(in_flight=float(in_flight[action.engine]))
+            schedule(
                 now + 2.0,
                 number,
                 HealthCheckEnded(action.engine, AttemptOutcome.SUCCEEDED, 2.0, report),
             )
         elif isinstance(action, StartAttempt):
-            cls, work = requests[action.request]
+            query_class, work = requests[action.request]
             attempt = sent[action.request] = sent.get(action.request, -1) + 1
-            lost = (
+            refused = (
                 action.engine in warm
                 and fleet.outage_at_ms is not None
                 and now - start >= fleet.outage_at_ms
             )
-            if action.engine in got:
-                got[action.engine].append(now - start)
-            warmth = fleet.budget(now - start) / fleet.budget(1e9) if action.engine in got else 1.0
-            took = (
+            if action.engine in call_times:
+                call_times[action.engine].append(now - start)
+            warm_up_progress = (
+                fleet.budget(now - start) / fleet.budget(1e9)
+                if action.engine in call_times
+                else 1.0
+            )
+            elapsed_ms = (
                 1.0
-                if lost
-                else work / cls.threads / warmth * max(held[action.engine] / (1.5 * CORES), 1.0)
+                if refused
+                else work
+                / query_class.threads
+                / warm_up_progress
+                * max(in_flight[action.engine] / (1.5 * CORES), 1.0)
             )
-            held[action.engine] += 1
-            ending = AttemptOutcome.NO_CONNECTION if lost else AttemptOutcome.SUCCEEDED
-            plan(
-                now + took,
+            in_flight[action.engine] += 1
+            outcome = AttemptOutcome.NO_CONNECTION if refused else AttemptOutcome.SUCCEEDED
+            schedule(
+                now + elapsed_ms,
                 number,
                 AttemptEnded(
-                    action.request, attempt, action.engine, ending, took, request_closed=not lost
+                    action.request,
+                    attempt,
+                    action.engine,
+                    outcome,
+                    elapsed_ms,
+                    request_closed=not refused,
                 ),
             )
 
-    weights = [fleet.max_traffic_ratio ** chance.random() for _ in brokers]
-    rate = fleet.load * (fleet.warm + fleet.cold) * CAPACITY * CORES / MEAN_WORK  # calls a ms
+    weights = [fleet.max_traffic_ratio ** rng.random() for _ in brokers]
+    rate = (
+        fleet.load * (fleet.warm + fleet.cold) * CAPACITY_FRACTION * CORES / MEAN_WORK_MS
+    )  # calls a ms
     gaps = [sum(weights) / weight / rate for weight in weights]
     for number in range(fleet.brokers):
-        plan(start - 6000, number, listed(warm, 1))
-        plan(start - 5000 + chance.expovariate(1 / gaps[number]), number, None)
-        plan(start + fleet.notification_delay_ms(chance), number, listed(cold, 2, started_ms=start))
+        schedule(start - 6000, number, list_update(warm, 1))
+        schedule(start - 5000 + rng.expovariate(1 / gaps[number]), number, None)
+        schedule(
+            start + fleet.notification_delay_ms(rng), number, list_update(cold, 2, started_ms=start)
+        )
     while queue and queue[0][0] < start + 1000 * fleet.seconds:
         now, _, number, event = heapq.heappop(queue)
         clock = now
         if isinstance(event, WatchEvent):
-            routes[number].apply(event)
+            registries[number].apply(event)
             continue
         if event is None:  # the next arrival
-            plan(now + chance.expovariate(1 / gaps[number]), number, None)
-            ((cls, _, mean),) = chance.choices(MIX, [share for _, share, _ in MIX])
-            work, name = mean * chance.lognormvariate(-0.4, 0.9), f"r{next(count)}"
-            requests[name] = cls, work
+            schedule(now + rng.expovariate(1 / gaps[number]), number, None)
+            ((query_class, _, mean),) = rng.choices(QUERY_MIX, [share for _, share, _ in QUERY_MIX])
+            work, name = mean * rng.lognormvariate(-0.4, 0.9), f"r{next(sequence)}"
+            requests[name] = query_class, work
             event = RequestArrived(
-                name, cls.name, now + cls.deadline_ms, work_ms=work * chance.uniform(0.6, 1.6)
+                name,
+                query_class.name,
+                now + query_class.deadline_ms,
+                work_ms=work * rng.uniform(0.6, 1.6),
             )
         elif isinstance(event, AttemptEnded):
-            held[event.engine] -= 1
+            in_flight[event.engine] -= 1
         handle(number, event)
-    return got
+    return call_times
 
 
-def worst_budget_excess(fleet: Fleet, got: dict[str, list[float]]) -> float:
+def worst_budget_excess(fleet: Fleet, call_times: dict[str, list[float]]) -> float:
     """The worst window of all engines: its calls beyond the budget N, in roots of N less the two
     that are allowed. Positive breaks N + 2 x root of N + 2."""
     worst, window = -99.0, fleet.rules["overload_window_ms"]
-    for times in got.values():
+    for times in call_times.values():
         last = 0
         for first, at in enumerate(times):
             while last < len(times) and times[last] < at + window:
--- a/tests/decisions/test_abandonment.py
+++ b/tests/decisions/test_abandonment.py
@@ -4,7 +4,7 @@
 
 import math
 
-from tests.decisions.bench import Bench, make_settings, only
+from tests.decisions.bench import Bench, make_settings, of_type
 from umberusher.decisions.actions import CancelAttempt, FailRequest, RejectRequest, StartAttempt
 from umberusher.decisions.events import AttemptOutcome, AttemptProgress, ProgressKind
 from umberusher.decisions.settings import Limits
@@ -14,18 +14,18 @@
     """Whether reports are served better with cancels is noise: what is done is checked here."""
     bench = Bench(make_settings(limits=Limits(max_attempts=4, cancellation=True)), engines=4)
     _, actions = bench.arrive()
-    (first,) = only(actions, StartAttempt)
-    taken = bench.balancer.estimates.by_class["short"].log_time
-    bench.now += 4 * math.exp(taken)
+    (first,) = of_type(actions, StartAttempt)
+    expected_log_ms = bench.balancer.estimates.by_class["short"].log_time
+    bench.now += 4 * math.exp(expected_log_ms)
     actions = bench.feed(
         AttemptProgress(first.request, 0, first.engine, ProgressKind.PROGRESS, 0.1)
     )
-    assert only(actions, CancelAttempt) == [CancelAttempt(first.request, 0)] and not only(
+    assert of_type(actions, CancelAttempt) == [CancelAttempt(first.request, 0)] and not of_type(
         actions, StartAttempt
     )
-    (second,) = only(bench.finish(first, AttemptOutcome.CANCELLED), StartAttempt)
+    (second,) = of_type(bench.finish(first, AttemptOutcome.CANCELLED), StartAttempt)
     assert second.request == first.request and second.engine != first.engine
     bench.finish(second)
-    assert not bench.balancer.requests and not only(bench.log, FailRequest) + only(
+    assert not bench.balancer.requests and not of_type(bench.log, FailRequest) + of_type(
         bench.log, RejectRequest
     )
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.decisions.bench import Bench, make_settings, only
+from tests.decisions.bench import Bench, make_settings, of_type
 from umberusher.decisions.actions import StartAttempt
 from umberusher.decisions.events import (
     AttemptOutcome,
@@ -16,7 +16,7 @@
 ENGINES = [f"e{number}" for number in range(4)]
 
 
-def limit_after_a_slow_second(gap_ms: float, held: float = 90.0) -> float:
+def limit_after_a_slow_second(gap_ms: float, reported_in_flight: float = 90.0) -> float:
     """The learned limit after 1 s in which every answer was too slow, and engines told of so many
     queries."""
     bench = Bench(engines=len(ENGINES))
@@ -24,11 +24,16 @@
         until = bench.now + (1000.0 if slow else 100 * gap_ms)
         while bench.now < until:
             bench.now += gap_ms
-            bench.finish(only(bench.arrive()[1], StartAttempt)[0], elapsed=900.0 if slow else 50.0)
+            bench.finish(
+                of_type(bench.arrive()[1], StartAttempt)[0], elapsed_ms=900.0 if slow else 50.0
+            )
             for engine in ENGINES if slow else ():
                 bench.feed(
                     HealthCheckEnded(
-                        engine, AttemptOutcome.SUCCEEDED, 1.0, LoadReport(in_flight=held)
+                        engine,
+                        AttemptOutcome.SUCCEEDED,
+                        1.0,
+                        LoadReport(in_flight=reported_in_flight),
                     )
                 )
     return bench.balancer.concurrency_limit.threads_per_core
@@ -37,9 +42,11 @@
 def test_limit_moves_by_time_however_few_requests_a_broker_has():
     """Found with 200 brokers of 5 queries a second: after a release the limit hardly fell, and all
     stood crowded."""
-    often, seldom = limit_after_a_slow_second(20.0), limit_after_a_slow_second(100.0)
-    assert often < 0.6 * 2.4 and abs(often - seldom) < 0.1 * 2.4
-    assert limit_after_a_slow_second(100.0, held=1.0) > 0.85 * 2.4  # slow, but not crowded
+    frequent, infrequent = limit_after_a_slow_second(20.0), limit_after_a_slow_second(100.0)
+    assert frequent < 0.6 * 2.4 and abs(frequent - infrequent) < 0.1 * 2.4
+    assert (
+        limit_after_a_slow_second(100.0, reported_in_flight=1.0) > 0.85 * 2.4
+    )  # slow, but not crowded
 
 
 @pytest.mark.parametrize("brokers", [1, 200])
@@ -48,29 +55,29 @@
     bench = Bench(make_settings(brokers=brokers), engines=20)
     for _ in range(400):
         _, actions = bench.arrive()
-        for send in only(actions, StartAttempt):
+        for send in of_type(actions, StartAttempt):
             bench.finish(send, report=LoadReport(in_flight=90.0))
     bench.log.clear()
     for _ in range(100):
         bench.arrive()
-    sends = len(only(bench.log, StartAttempt))
+    sends = len(of_type(bench.log, StartAttempt))
     assert sends <= 1 if brokers == 200 else sends > 30
 
 
-@pytest.mark.parametrize("in_order", [False, True])
-def test_late_request_has_the_limit_of_a_short_one_when_it_keeps_order(in_order):
+@pytest.mark.parametrize("ordered", [False, True])
+def test_late_request_has_the_limit_of_a_short_one_when_it_keeps_order(ordered):
     """Found on a day with a busy key: one late load held its line for 20 s, and all behind it came
     late too."""
-    cls = QueryClass(
+    query_class = QueryClass(
         "load",
         1000,
         25_000,
         7,
         Idempotency.NON_IDEMPOTENT,
-        ordered_by_key=in_order,
+        ordered_by_key=ordered,
         late_weight=0.5,
     )
-    bench = Bench(make_settings(cls, brokers=8), engines=1)
+    bench = Bench(make_settings(query_class, brokers=8), engines=1)
     bench.feed(HealthCheckEnded("e0", AttemptOutcome.SUCCEEDED, 1.0, LoadReport(in_flight=8.0)))
     bench.balancer.concurrency_limit.threads_per_core = 0.5
     bench.balancer.in_flight.last_end_at = bench.now
@@ -80,7 +87,7 @@
     # Between the limit and that of short requests.
     bench.balancer.concurrency_limit.threads_per_core = 0.7
     late.past_objective = True
-    assert [send.request for send in only(bench.tick(), StartAttempt)] == ["r1"] * in_order
+    assert [send.request for send in of_type(bench.tick(), StartAttempt)] == ["r1"] * ordered
 
 
 def test_limit_stays_high_when_one_answer_in_four_is_slow():
@@ -94,6 +101,6 @@
         bench.arrive("load", 1e6, key="k")
     for number in range(400):
         _, actions = bench.arrive()
-        for send in only(actions, StartAttempt):
-            bench.finish(send, elapsed=50.0 if number % 4 else 900.0)
+        for send in of_type(actions, StartAttempt):
+            bench.finish(send, elapsed_ms=50.0 if number % 4 else 900.0)
     assert bench.balancer.queue.requests and bench.balancer.concurrency_limit.threads_per_core > 2.0
--- a/tests/decisions/test_control_sets.py
+++ b/tests/decisions/test_control_sets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.decisions.bench import Bench, only
+from tests.decisions.bench import Bench, of_type
 from umberusher.decisions.actions import StartAttempt
 from umberusher.decisions.events import (
     AttemptOutcome,
@@ -12,14 +12,16 @@
 def test_selection_probability_falls_below_its_start_on_a_large_fleet():
     """Found by reading: the least odds stood above the starting odds beyond 40 engines."""
     bench = Bench(engines=300)
-    odds = {engine.id: engine.selection_probability for engine in bench.balancer.engines.values()}
+    initial_probabilities = {
+        engine.id: engine.selection_probability for engine in bench.balancer.engines.values()
+    }
     for _ in range(50):
         _, actions = bench.arrive()
-        for send in only(actions, StartAttempt):
+        for send in of_type(actions, StartAttempt):
             bench.finish(send, AttemptOutcome.ERROR, closed=True)
     assert (
         min(
-            engine.selection_probability - odds[engine.id]
+            engine.selection_probability - initial_probabilities[engine.id]
             for engine in bench.balancer.engines.values()
         )
         < 0
--- a/tests/decisions/test_eligibility.py
+++ b/tests/decisions/test_eligibility.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.decisions.bench import UNSAFE, Bench, keyed, make_settings, only
+from tests.decisions.bench import UNSAFE, Bench, keyed, make_settings, of_type
 from umberusher.decisions.actions import FailRequest, RejectRequest, StartAttempt
 from umberusher.decisions.events import (
     AttemptOutcome,
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    "ending",
+    "outcome",
     [
         AttemptOutcome.ERROR,
         AttemptOutcome.RESET,
@@ -22,29 +22,29 @@
         AttemptOutcome.CANCELLED,
     ],
 )
-def test_non_idempotent_request_is_failed_and_not_retried_after_unresolved_attempt(ending):
+def test_non_idempotent_request_is_failed_and_not_retried_after_unresolved_attempt(outcome):
     bench = Bench(make_settings(UNSAFE))
     _, actions = bench.arrive("load")
-    actions = bench.finish(only(actions, StartAttempt)[0], ending)
+    actions = bench.finish(of_type(actions, StartAttempt)[0], outcome)
     bench.run(7000)
-    assert len(only(bench.log, StartAttempt)) == 1
-    assert len(only(bench.log, FailRequest)) == 1 and not only(bench.log, RejectRequest)
+    assert len(of_type(bench.log, StartAttempt)) == 1
+    assert len(of_type(bench.log, FailRequest)) == 1 and not of_type(bench.log, RejectRequest)
 
 
-@pytest.mark.parametrize("ending", [AttemptOutcome.OVERLOADED, AttemptOutcome.NO_CONNECTION])
-def test_non_idempotent_request_is_retried_when_it_never_ran(ending):
+@pytest.mark.parametrize("outcome", [AttemptOutcome.OVERLOADED, AttemptOutcome.NO_CONNECTION])
+def test_non_idempotent_request_is_retried_when_it_never_ran(outcome):
     bench = Bench(make_settings(UNSAFE))
     _, actions = bench.arrive("load")
-    bench.finish(only(actions, StartAttempt)[0], ending)
+    bench.finish(of_type(actions, StartAttempt)[0], outcome)
     bench.run(200)
-    assert len(only(bench.log, StartAttempt)) == 2
+    assert len(of_type(bench.log, StartAttempt)) == 2
 
 
 def test_non_idempotent_request_is_failed_when_in_flight_at_its_deadline():
     bench = Bench(make_settings(UNSAFE))
     bench.arrive("load")
     bench.run(6500)
-    assert only(bench.log, FailRequest) and not only(bench.log, RejectRequest)
+    assert of_type(bench.log, FailRequest) and not of_type(bench.log, RejectRequest)
 
 
 @pytest.mark.parametrize(
@@ -59,21 +59,21 @@
 )
 def test_keyed_request_stays_in_its_scope_after_unresolved_attempt(scope, zone, cell, allowed):
     bench = Bench(make_settings(keyed(scope)), engines=1)
-    _, actions = bench.arrive("keyed", wait=9000)
+    _, actions = bench.arrive("keyed", timeout_ms=9000)
     bench.change("e0", EndpointState.DRAINING)
     bench.change("e9", zone=zone, cell=cell)
-    bench.finish(only(actions, StartAttempt)[0], AttemptOutcome.RESET)
+    bench.finish(of_type(actions, StartAttempt)[0], AttemptOutcome.RESET)
     bench.run(1000)
-    assert (len(only(bench.log, StartAttempt)) == 2) is allowed
+    assert (len(of_type(bench.log, StartAttempt)) == 2) is allowed
 
 
 def test_keyed_request_is_not_retried_after_its_deduplication_window():
     bench = Bench(make_settings(keyed(DeduplicationScope.ALL)))
-    _, actions = bench.arrive("keyed", wait=9000)
+    _, actions = bench.arrive("keyed", timeout_ms=9000)
     bench.now += 1995
-    bench.finish(only(actions, StartAttempt)[0], AttemptOutcome.RESET)
+    bench.finish(of_type(actions, StartAttempt)[0], AttemptOutcome.RESET)
     bench.run(8000)
-    assert len(only(bench.log, StartAttempt)) == 1
+    assert len(of_type(bench.log, StartAttempt)) == 1
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
@@ -82,7 +82,7 @@
     bench.change("e0", state)
     bench.arrive()
     bench.run(2000)
-    assert not only(bench.log, StartAttempt)
+    assert not of_type(bench.log, StartAttempt)
 
 
 def test_engine_is_removed_when_missing_from_complete_list():
@@ -90,17 +90,17 @@
     bench.list_engines("e1")
     for _ in range(30):
         bench.arrive()
-    assert {send.engine for send in only(bench.log, StartAttempt)} == {"e1"}
+    assert {send.engine for send in of_type(bench.log, StartAttempt)} == {"e1"}
 
 
-@pytest.mark.parametrize("more", [dict(zones=("here",)), dict(kinds=("big",))])
-def test_placement_holds_when_no_place_is_up(more):
-    placed = QueryClass("p", 4000, 9000, 5, Idempotency.IDEMPOTENT, **more)
+@pytest.mark.parametrize("placement", [dict(zones=("here",)), dict(kinds=("big",))])
+def test_placement_holds_when_no_place_is_up(placement):
+    placed = QueryClass("p", 4000, 9000, 5, Idempotency.IDEMPOTENT, **placement)
     bench = Bench(make_settings(placed))
     bench.arrive("p")
-    assert not only(bench.run(1000), StartAttempt)
+    assert not of_type(bench.run(1000), StartAttempt)
     bench.change("e7", zone="here", kind="big")
-    assert {send.engine for send in only(bench.log, StartAttempt)} == {"e7"}
+    assert {send.engine for send in of_type(bench.log, StartAttempt)} == {"e7"}
 
 
 def test_no_hedged_request_is_sent_where_hedging_is_not_allowed():
@@ -117,8 +117,10 @@
     bench = Bench(make_settings(limits=Limits(max_attempts=2)))
     bench.arrive()
     for _ in range(5):
-        for send in only(bench.log, StartAttempt)[-1:]:
+        for send in of_type(bench.log, StartAttempt)[-1:]:
             if (send.request, bench.sent[send.request] - 1) in bench.balancer.in_flight.attempts:
                 bench.finish(send, AttemptOutcome.ERROR)
         bench.run(100)
-    assert len(only(bench.log, StartAttempt)) == 2 and len(only(bench.log, RejectRequest)) == 1
+    assert (
+        len(of_type(bench.log, StartAttempt)) == 2 and len(of_type(bench.log, RejectRequest)) == 1
+    )
--- a/tests/decisions/test_engine_pool.py
+++ b/tests/decisions/test_engine_pool.py
@@ -4,55 +4,55 @@
 
 from collections import Counter
 
-from tests.decisions.bench import Bench, make_settings, only
+from tests.decisions.bench import Bench, make_settings, of_type
 from umberusher.decisions.actions import StartAttempt
 
 
-def engines_used(
+def count_sends(
     brokers: int, engines: int, gap_ms: float, queries: int
 ) -> tuple[Counter[str], list[int]]:
     """How often each engine is sent to by all brokers together, and how many engines each of them
     uses."""
-    found, widths = Counter(), []
+    sends_by_engine, subset_sizes = Counter(), []
     for seed in range(brokers):
-        bench, used = (
+        bench, sends_of_broker = (
             Bench(make_settings(brokers=brokers, keepalive_ms=15_000), engines, seed),
             Counter(),
         )
         for _ in range(queries):
             bench.now += gap_ms
-            for send in only(bench.arrive()[1], StartAttempt):
-                used[send.engine] += 1
-                bench.finish(send, elapsed=100.0)
-        widths.append(sum(count > 2 for count in used.values()))
-        found += used
-    return found, widths
+            for send in of_type(bench.arrive()[1], StartAttempt):
+                sends_of_broker[send.engine] += 1
+                bench.finish(send, elapsed_ms=100.0)
+        subset_sizes.append(sum(count > 2 for count in sends_of_broker.values()))
+        sends_by_engine += sends_of_broker
+    return sends_by_engine, subset_sizes
 
 
 def test_subset_has_as_many_engines_as_traffic_keeps_in_use():
     """Found at 200 brokers and 80 engines: 0.6 new connections a request, each idle for longer
     than it lives."""
-    found, widths = engines_used(brokers=60, engines=60, gap_ms=200.0, queries=150)
+    sends_by_engine, subset_sizes = count_sends(brokers=60, engines=60, gap_ms=200.0, queries=150)
     assert (
-        6 <= sorted(widths)[30] <= 20
+        6 <= sorted(subset_sizes)[30] <= 20
     )  # 15 s of 200 ms are 75 queries: eight each for nine engines
-    mean = sum(found.values()) / 60
+    mean = sum(sends_by_engine.values()) / 60
     assert (
-        len(found) == 60 and max(found.values()) < 2.5 * mean
+        len(sends_by_engine) == 60 and max(sends_by_engine.values()) < 2.5 * mean
     )  # together they use all of them alike
 
 
 def test_subset_has_every_engine_when_there_is_much_traffic():
-    found, widths = engines_used(brokers=2, engines=10, gap_ms=14.0, queries=600)
-    assert widths == [10, 10]
+    sends_by_engine, subset_sizes = count_sends(brokers=2, engines=10, gap_ms=14.0, queries=600)
+    assert subset_sizes == [10, 10]
 
 
 def test_all_of_1024_engines_are_used_by_one_of_1024_brokers():
     bench = Bench(make_settings(brokers=1024), engines=1024)
-    used = Counter()
+    sends_of_broker = Counter()
     for _ in range(12_000):
         bench.now += 1
-        for send in only(bench.arrive()[1], StartAttempt):
-            used[send.engine] += 1
+        for send in of_type(bench.arrive()[1], StartAttempt):
+            sends_of_broker[send.engine] += 1
             bench.finish(send)
-    assert len(used) == 1024 and max(used.values()) < 5 * 12
+    assert len(sends_of_broker) == 1024 and max(sends_of_broker.values()) < 5 * 12
--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.decisions.bench import LOOKUP, Bench, make_settings, only
+from tests.decisions.bench import LOOKUP, Bench, make_settings, of_type
 from umberusher.decisions.actions import Action, CheckHealth, StartAttempt
 from umberusher.decisions.events import (
     AttemptOutcome,
@@ -21,62 +21,64 @@
 )
 
 
-def asking(**more) -> Bench:
+def make_bench(**kwargs) -> Bench:
     limits = Limits(max_attempts=4, health_checks=True)
-    return Bench(make_settings(LOOKUP, COSTLY, brokers=200, limits=limits), engines=40, **more)
+    return Bench(make_settings(LOOKUP, COSTLY, brokers=200, limits=limits), engines=40, **kwargs)
 
 
-def answered(bench: Bench, engine: str, held: float) -> list[Action]:
+def answer_check(bench: Bench, engine: str, in_flight: float) -> list[Action]:
     bench.now += 60  # means over the pool are that old at the most
     return bench.feed(
-        HealthCheckEnded(engine, AttemptOutcome.SUCCEEDED, 2.0, LoadReport(in_flight=held))
+        HealthCheckEnded(engine, AttemptOutcome.SUCCEEDED, 2.0, LoadReport(in_flight=in_flight))
     )
 
 
 def test_costly_request_goes_to_the_lighter_of_the_checked_engines():
     """Found at 200 brokers: an engine was asked once in 80 s, and crowds drew as many costly
     queries as idle ones."""
-    bench = asking(seed=2)
-    _, actions = bench.arrive("costly", wait=15_000)
-    first = only(actions, CheckHealth)
-    assert len(first) == 1 and not only(actions, StartAttempt)
-    actions = answered(bench, first[0].engine, 60.0)
-    second = only(actions, CheckHealth)
+    bench = make_bench(seed=2)
+    _, actions = bench.arrive("costly", timeout_ms=15_000)
+    first = of_type(actions, CheckHealth)
+    assert len(first) == 1 and not of_type(actions, StartAttempt)
+    actions = answer_check(bench, first[0].engine, 60.0)
+    second = of_type(actions, CheckHealth)
     assert (
-        len(second) == 1 and second[0].engine != first[0].engine and not only(actions, StartAttempt)
+        len(second) == 1
+        and second[0].engine != first[0].engine
+        and not of_type(actions, StartAttempt)
     )
-    assert [send.engine for send in only(answered(bench, second[0].engine, 2.0), StartAttempt)] == [
-        second[0].engine
-    ]
+    assert [
+        send.engine for send in of_type(answer_check(bench, second[0].engine, 2.0), StartAttempt)
+    ] == [second[0].engine]
 
 
 def test_no_check_is_made_for_a_short_request_or_a_known_engine():
-    bench = asking()
+    bench = make_bench()
     _, actions = bench.arrive("short")
-    assert only(actions, StartAttempt) and len(only(actions, CheckHealth)) == 0
+    assert of_type(actions, StartAttempt) and len(of_type(actions, CheckHealth)) == 0
     for number in range(40):
-        answered(bench, f"e{number}", 3.0)
-    _, actions = bench.arrive("costly", wait=15_000)
-    assert only(actions, StartAttempt) and not only(actions, CheckHealth)
+        answer_check(bench, f"e{number}", 3.0)
+    _, actions = bench.arrive("costly", timeout_ms=15_000)
+    assert of_type(actions, StartAttempt) and not of_type(actions, CheckHealth)
 
 
 def test_costly_request_waits_a_bounded_time_when_engines_do_not_answer():
-    bench = asking()
-    name, actions = bench.arrive("costly", wait=15_000)
-    asked = only(actions, CheckHealth)
+    bench = make_bench()
+    name, actions = bench.arrive("costly", timeout_ms=15_000)
+    checks = of_type(actions, CheckHealth)
     actions = bench.run(1000)
-    asked += only(actions, CheckHealth)
-    sends = only(actions, StartAttempt)
+    checks += of_type(actions, CheckHealth)
+    sends = of_type(actions, StartAttempt)
     assert (
-        len(asked) == 2
+        len(checks) == 2
         and len(sends) == 1
-        and sends[0].engine not in {probe.engine for probe in asked}
+        and sends[0].engine not in {check.engine for check in checks}
     )
 
 
 def test_no_check_is_made_when_checks_bring_nothing_in_time():
     """Found on a day with late reports: each costly query waited half a second for nothing."""
-    bench = asking()
+    bench = make_bench()
     for number in range(8):
         bench.feed(
             HealthCheckEnded(
@@ -84,10 +86,10 @@
             )
         )
     bench.now += 10_000
-    _, actions = bench.arrive("costly", wait=15_000)
-    assert only(actions, StartAttempt)
+    _, actions = bench.arrive("costly", timeout_ms=15_000)
+    assert of_type(actions, StartAttempt)
     for number in range(8):
-        answered(bench, f"e{number}", 3.0)
+        answer_check(bench, f"e{number}", 3.0)
     bench.now += 10_000
-    _, actions = bench.arrive("costly", wait=15_000)
-    assert not only(actions, StartAttempt) and only(actions, CheckHealth)
+    _, actions = bench.arrive("costly", timeout_ms=15_000)
+    assert not of_type(actions, StartAttempt) and of_type(actions, CheckHealth)
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.decisions.bench import COLD, LOOKUP, Bench, make_settings, only
+from tests.decisions.bench import LOOKUP, WARM_UP_RULES, Bench, make_settings, of_type
 from umberusher.decisions.actions import FailRequest, RejectRequest, StartAttempt
 from umberusher.decisions.events import (
     AttemptOutcome,
@@ -14,40 +14,42 @@
 from umberusher.decisions.settings import Idempotency, Limits, QueryClass, Rules
 
 
-def drive(
-    bench: Bench, count: int, bad=frozenset(), gap: float = 50.0, elapsed: float = 100.0
+def send_requests(
+    bench: Bench, count: int, failing=frozenset(), gap_ms: float = 50.0, elapsed_ms: float = 100.0
 ) -> list[str]:
     """Send queries one by one; engines in bad fail to connect. Gives the engines of first sends."""
-    first = []
+    first_engines = []
     for _ in range(count):
-        bench.now += gap
+        bench.now += gap_ms
         name, actions = bench.arrive()
-        sends = only(actions, StartAttempt)
-        first += [send.engine for send in sends[:1]]
+        sends = of_type(actions, StartAttempt)
+        first_engines += [send.engine for send in sends[:1]]
         while sends:
-            failed = sends[0].engine in bad
-            ending = AttemptOutcome.NO_CONNECTION if failed else AttemptOutcome.SUCCEEDED
+            failed = sends[0].engine in failing
+            outcome = AttemptOutcome.NO_CONNECTION if failed else AttemptOutcome.SUCCEEDED
             sends = [
                 s
-                for s in only(bench.finish(sends[0], ending, elapsed=elapsed), StartAttempt)
+                for s in of_type(
+                    bench.finish(sends[0], outcome, elapsed_ms=elapsed_ms), StartAttempt
+                )
                 if s.request == name
             ]
-    return first
+    return first_engines
 
 
 def test_a_dead_engine_is_ejected_and_comes_back():
     bench = Bench(engines=4)
-    dead = drive(bench, 200, bad={"e0"})
-    assert dead.count("e0") < 20
+    selected = send_requests(bench, 200, failing={"e0"})
+    assert selected.count("e0") < 20
     bench.now += 9000
-    assert "e0" in drive(bench, 100)
+    assert "e0" in send_requests(bench, 100)
 
 
 def test_when_most_engines_look_dead_the_judgement_is_distrusted():
     bench = Bench(engines=4)
-    drive(bench, 40, bad={"e0", "e1", "e2"})
-    after = drive(bench, 40)
-    assert len(set(after)) >= 2
+    send_requests(bench, 40, failing={"e0", "e1", "e2"})
+    selected = send_requests(bench, 40)
+    assert len(set(selected)) >= 2
 
 
 def test_a_slow_engine_gets_less_and_is_forgiven():
@@ -55,22 +57,22 @@
     for _ in range(150):
         bench.now += 20
         _, actions = bench.arrive()
-        for send in only(actions, StartAttempt):
-            bench.finish(send, elapsed=2000.0 if send.engine == "e0" else 100.0)
+        for send in of_type(actions, StartAttempt):
+            bench.finish(send, elapsed_ms=2000.0 if send.engine == "e0" else 100.0)
     balancer = bench.balancer
     assert balancer.loads.relative_speed(balancer.engines["e0"]) < 0.5
     for _ in range(200):
         bench.now += 20
         _, actions = bench.arrive()
-        for send in only(actions, StartAttempt):
-            bench.finish(send, elapsed=100.0)
+        for send in of_type(actions, StartAttempt):
+            bench.finish(send, elapsed_ms=100.0)
     bench.run(30_000)
     assert balancer.loads.relative_speed(balancer.engines["e0"]) == 1.0
 
 
 def test_frozen_reports_cold_restarts_and_a_stale_list_at_once():
-    bench = Bench(make_settings(rules=Rules(**COLD), brokers=2), engines=6)
-    frozen = LoadReport(in_flight=4.0)
+    bench = Bench(make_settings(rules=Rules(**WARM_UP_RULES), brokers=2), engines=6)
+    constant_report = LoadReport(in_flight=4.0)
     served = 0
     for step in range(600):
         bench.now += 20
@@ -80,31 +82,31 @@
         if step % 50 == 0:
             bench.feed(EndpointListFailed())
         _, actions = bench.arrive()
-        sends = only(actions, StartAttempt)
+        sends = of_type(actions, StartAttempt)
         while sends:
-            bad = sends[0].engine in ("e4", "e5") and 100 < step < 400
-            ending = AttemptOutcome.RESET if bad else AttemptOutcome.SUCCEEDED
-            served += not bad
-            sends = only(bench.finish(sends[0], ending, report=frozen), StartAttempt)
+            failing = sends[0].engine in ("e4", "e5") and 100 < step < 400
+            outcome = AttemptOutcome.RESET if failing else AttemptOutcome.SUCCEEDED
+            served += not failing
+            sends = of_type(bench.finish(sends[0], outcome, report=constant_report), StartAttempt)
     assert served > 570
-    assert {s.engine for s in only(bench.log, StartAttempt)[-100:]} >= {"e4", "e5"}
+    assert {s.engine for s in of_type(bench.log, StartAttempt)[-100:]} >= {"e4", "e5"}
 
 
 def test_state_stays_bounded():
-    turn = QueryClass("short", 1000, 6000, 1, Idempotency.IDEMPOTENT, ordered_by_key=True)
+    ordered = QueryClass("short", 1000, 6000, 1, Idempotency.IDEMPOTENT, ordered_by_key=True)
     rules = Rules(
         retry_budget_floor=5,
         retry_budget_ratio=0.1,
         retry_budget_window_ms=1000,
         key_cool_down_ms=100,
     )
-    for conf in (make_settings(), make_settings(turn, rules=rules)):
-        bench = Bench(conf, engines=5)
+    for settings in (make_settings(), make_settings(ordered, rules=rules)):
+        bench = Bench(settings, engines=5)
         for step in range(1500):
             bench.list_engines(*[f"e{step // 10 + number}" for number in range(5)])
             bench.now += 50
             _, actions = bench.arrive(key=f"k{step}")
-            for send in only(actions, StartAttempt):
+            for send in of_type(actions, StartAttempt):
                 bench.finish(
                     send,
                     AttemptOutcome.ERROR if step % 9 == 0 else AttemptOutcome.SUCCEEDED,
@@ -128,15 +130,18 @@
 def test_extreme_settings_give_sane_decisions():
     tiny = QueryClass("short", 1, 1, 1, Idempotency.IDEMPOTENT)
     for engines in (1, 300):
-        for cls in (None, tiny):
+        for query_class in (None, tiny):
             bench = Bench(
-                make_settings(*([cls] if cls else []), limits=Limits(max_attempts=1)), engines
+                make_settings(
+                    *([query_class] if query_class else []), limits=Limits(max_attempts=1)
+                ),
+                engines,
             )
             for _ in range(20):
-                bench.arrive(wait=1 if cls else 6000, work_ms=0.0, memory_mb=0.0)
+                bench.arrive(timeout_ms=1 if query_class else 6000, work_ms=0.0, memory_mb=0.0)
             bench.run(7000)
-            answers = only(bench.log, (RejectRequest, FailRequest))
-            assert len(answers) == 20 and len(only(bench.log, StartAttempt)) <= 20
+            answers = of_type(bench.log, (RejectRequest, FailRequest))
+            assert len(answers) == 20 and len(of_type(bench.log, StartAttempt)) <= 20
 
 
 def test_a_query_that_errs_on_two_engines_is_answered_and_no_engine_is_left_out():
@@ -144,9 +149,12 @@
     for _ in range(20):
         name, actions = bench.arrive()
         for _ in range(2):
-            (send,) = only(actions, StartAttempt)
+            (send,) = of_type(actions, StartAttempt)
             actions = bench.finish(send, AttemptOutcome.ERROR)
-        assert not only(actions, StartAttempt) and only(actions, RejectRequest)[0].request == name
+        assert (
+            not of_type(actions, StartAttempt)
+            and of_type(actions, RejectRequest)[0].request == name
+        )
     assert all(engine.ejected_until < bench.now for engine in bench.balancer.engines.values())
 
 
@@ -154,7 +162,7 @@
     bench = Bench(engines=4)
     for _ in range(60):
         _, actions = bench.arrive()
-        while sends := only(actions, StartAttempt):
+        while sends := of_type(actions, StartAttempt):
             actions = bench.finish(
                 sends[0],
                 AttemptOutcome.ERROR if sends[0].engine == "e0" else AttemptOutcome.SUCCEEDED,
@@ -163,12 +171,15 @@
 
 
 def test_a_reset_leaves_an_engine_alone_for_a_moment_only_and_a_refused_connection_for_longer():
-    for ending, rest in ((AttemptOutcome.RESET, 150.0), (AttemptOutcome.NO_CONNECTION, 500.0)):
+    for outcome, ejection_ms in (
+        (AttemptOutcome.RESET, 150.0),
+        (AttemptOutcome.NO_CONNECTION, 500.0),
+    ):
         bench = Bench(engines=4)
         _, actions = bench.arrive()
-        (send,) = only(actions, StartAttempt)
-        bench.finish(send, ending)
-        assert bench.balancer.engines[send.engine].ejected_until == bench.now + rest
+        (send,) = of_type(actions, StartAttempt)
+        bench.finish(send, outcome)
+        assert bench.balancer.engines[send.engine].ejected_until == bench.now + ejection_ms
 
 
 def test_groups_of_tables_seen_are_not_kept():
@@ -176,56 +187,56 @@
     bench = Bench(make_settings(load))
     for group in range(50):
         _, actions = bench.arrive("load", group=group)
-        bench.finish(only(actions, StartAttempt)[0])
+        bench.finish(of_type(actions, StartAttempt)[0])
     assert not any(engine.loads_by_group for engine in bench.balancer.engines.values())
 
 
 def test_an_engine_that_leaves_a_probe_unanswered_is_left_out_until_it_answers_one():
     bench = Bench(engines=4)
     bench.feed(HealthCheckEnded("e0", AttemptOutcome.TIMED_OUT, 250.0, None))
-    sends = [send for _ in range(12) for send in only(bench.arrive()[1], StartAttempt)]
+    sends = [send for _ in range(12) for send in of_type(bench.arrive()[1], StartAttempt)]
     assert len(sends) == 12 and "e0" not in {send.engine for send in sends}
     bench.feed(HealthCheckEnded("e0", AttemptOutcome.SUCCEEDED, 1.0, LoadReport(in_flight=0.0)))
-    sends = [send for _ in range(20) for send in only(bench.arrive()[1], StartAttempt)]
+    sends = [send for _ in range(20) for send in of_type(bench.arrive()[1], StartAttempt)]
     assert "e0" in {send.engine for send in sends}
 
 
-def silent(bench, count=20):
+def time_out_requests(bench, count=20):
     """Queries whose answers never come, seen out by their clients."""
     for _ in range(count):
-        name, actions = bench.arrive(wait=6000)
-        (send,) = only(actions, StartAttempt)
+        name, actions = bench.arrive(timeout_ms=6000)
+        (send,) = of_type(actions, StartAttempt)
         bench.now += 6000
         bench.feed(ClientDisconnected(name))
-        bench.finish(send, AttemptOutcome.TIMED_OUT, closed=True, elapsed=6000.0)
+        bench.finish(send, AttemptOutcome.TIMED_OUT, closed=True, elapsed_ms=6000.0)
 
 
 def test_a_line_waits_less_for_a_load_once_answers_have_been_seen_never_to_come():
-    turn = QueryClass("load", 1000, 20_000, 1, Idempotency.NON_IDEMPOTENT, ordered_by_key=True)
-    bench = Bench(make_settings(LOOKUP, turn), engines=4)
-    drive(bench, 50)
-    _, actions = bench.arrive("load", wait=20_000, key="a")
-    assert only(actions, StartAttempt)[0].timeout_ms is None
-    silent(bench)
-    _, actions = bench.arrive("load", wait=20_000, key="b")
-    (first,) = only(actions, StartAttempt)
+    ordered = QueryClass("load", 1000, 20_000, 1, Idempotency.NON_IDEMPOTENT, ordered_by_key=True)
+    bench = Bench(make_settings(LOOKUP, ordered), engines=4)
+    send_requests(bench, 50)
+    _, actions = bench.arrive("load", timeout_ms=20_000, key="a")
+    assert of_type(actions, StartAttempt)[0].timeout_ms is None
+    time_out_requests(bench)
+    _, actions = bench.arrive("load", timeout_ms=20_000, key="b")
+    (first,) = of_type(actions, StartAttempt)
     assert 1500 <= first.timeout_ms < 20_000
-    second, _ = bench.arrive("load", wait=20_000, key="b")
-    actions = bench.finish(first, AttemptOutcome.TIMED_OUT, elapsed=first.timeout_ms)
+    second, _ = bench.arrive("load", timeout_ms=20_000, key="b")
+    actions = bench.finish(first, AttemptOutcome.TIMED_OUT, elapsed_ms=first.timeout_ms)
     assert (
-        only(actions, FailRequest)[0].request == first.request
+        of_type(actions, FailRequest)[0].request == first.request
     )  # it may have run: failed at once, not tried again
-    assert second in {send.request for send in only(actions + bench.run(1000), StartAttempt)}
+    assert second in {send.request for send in of_type(actions + bench.run(1000), StartAttempt)}
 
 
 def test_slow_answers_that_come_are_no_silence():
     bench = Bench(engines=4)
-    drive(bench, 50)
-    drive(bench, 50, elapsed=5000.0)
+    send_requests(bench, 50)
+    send_requests(bench, 50, elapsed_ms=5000.0)
     assert bench.balancer.stalled_attempts.stall_probability < 0.1
     bench = Bench(engines=4)
-    drive(bench, 50)
-    silent(bench)
+    send_requests(bench, 50)
+    time_out_requests(bench)
     assert bench.balancer.stalled_attempts.stall_probability > 0.3
-    drive(bench, 2000)
+    send_requests(bench, 2000)
     assert bench.balancer.stalled_attempts.stall_probability < 0.1
--- a/tests/decisions/test_random_events.py
+++ b/tests/decisions/test_random_events.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, given, seed, settings
 from hypothesis import strategies as st
 
-from tests.decisions.bench import COLD, make_settings
+from tests.decisions.bench import WARM_UP_RULES, make_settings
 from umberusher.decisions.actions import FailRequest, RejectRequest, SetTimer, StartAttempt
 from umberusher.decisions.balancer import LoadBalancer
 from umberusher.decisions.eligibility import Eligibility
@@ -51,7 +51,7 @@
     retry_budget_floor=2,
     retry_budget_ratio=0.5,
     retry_budget_window_ms=2000,
-    **COLD,
+    **WARM_UP_RULES,
 )
 
 
@@ -61,11 +61,11 @@
 ENGINES = [f"e{number}" for number in range(5)]
 
 
-class BrokenError(AssertionError):
+class RuleViolationError(AssertionError):
     """A rule was broken."""
 
 
-class World:
+class RuleChecker:
     """A caller of the module that knows the rules from the page, not from the code."""
 
     def __init__(self, balancer_type: type[LoadBalancer], hedging: bool, number: int) -> None:
@@ -73,20 +73,20 @@
         limits.hedging = hedging
         self.hedging = hedging
         self.now = 5000.0
-        self.conf = make_settings(*CLASSES, limits=limits, rules=RULES, brokers=2)
-        self.type = balancer_type
+        self.settings = make_settings(*CLASSES, limits=limits, rules=RULES, brokers=2)
+        self.balancer_type = balancer_type
         self.number = number
         self.count = 0
         self.start()
 
     def start(self) -> None:
-        self.balancer = self.type(self.conf, self.number)
+        self.balancer = self.balancer_type(self.settings, self.number)
         self.open: dict[str, dict] = {}
-        self.out: dict[tuple[str, int], dict] = {}
+        self.in_flight: dict[tuple[str, int], dict] = {}
         self.state: dict[str, EndpointUpdate] = {}
         self.order: list[dict] = []
-        self.takes: list[float] = []
-        self.extras: list[float] = []
+        self.arrivals: list[float] = []
+        self.retries: list[float] = []
         self.timers: list[tuple[float, str]] = []
         self.feed(Started())
 
@@ -99,53 +99,60 @@
             elif isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay_ms, action.token))
 
-    def need(self, truth: bool, what: str) -> None:
+    def require(self, truth: bool, what: str) -> None:
         if not truth:
-            raise BrokenError(what)
+            raise RuleViolationError(what)
 
     def check_send(self, action: StartAttempt) -> None:
         request = self.open.get(action.request)
-        self.need(request is not None, "send for a request that has ended")
-        cls, entry = request["cls"], self.state[action.engine]
-        self.need(entry.state is EndpointState.UP, "send to an engine told draining or gone")
-        running = [a for key, a in self.out.items() if key[0] == action.request]
-        self.need(len(running) <= (1 if self.hedging else 0), "too many attempts at once")
-        past = request["doubt"] + running
-        if cls.idempotency is Idempotency.NON_IDEMPOTENT:
-            self.need(not past, "an unsafe request repeated")
-        if cls.idempotency is Idempotency.KEYED and past:
-            self.need(
-                all(a["zone"] == entry.zone for a in past), "a keyed repeat outside its group"
+        self.require(request is not None, "send for a request that has ended")
+        query_class, entry = request["cls"], self.state[action.engine]
+        self.require(entry.state is EndpointState.UP, "send to an engine told draining or gone")
+        running = [a for key, a in self.in_flight.items() if key[0] == action.request]
+        self.require(len(running) <= (1 if self.hedging else 0), "too many attempts at once")
+        unresolved = request["doubt"] + running
+        if query_class.idempotency is Idempotency.NON_IDEMPOTENT:
+            self.require(not unresolved, "an unsafe request repeated")
+        if query_class.idempotency is Idempotency.KEYED and unresolved:
+            self.require(
+                all(a["zone"] == entry.zone for a in unresolved), "a keyed repeat outside its group"
             )
-            self.need(
-                self.now - past[0]["at"] <= cls.deduplication_window_ms,
+            self.require(
+                self.now - unresolved[0]["at"] <= query_class.deduplication_window_ms,
                 "a keyed repeat after its span",
             )
-        self.need(cls.zones is None or entry.zone in cls.zones, "send outside the placement")
-        if cls.ordered_by_key and request["key"]:
+        self.require(
+            query_class.zones is None or entry.zone in query_class.zones,
+            "send outside the placement",
+        )
+        if query_class.ordered_by_key and request["key"]:
             for other in self.order:
                 if other is request:
                     break
                 if other["key"] == request["key"]:
-                    mine = any(key[0] == other["id"] for key in self.out)
-                    self.need(other["id"] not in self.open and not mine, "out of turn")
-                    self.need(self.now >= other["rest"], "sent before the key has rested")
+                    attempt_in_flight = any(key[0] == other["id"] for key in self.in_flight)
+                    self.require(
+                        other["id"] not in self.open and not attempt_in_flight, "out of turn"
+                    )
+                    self.require(self.now >= other["rest"], "sent before the key has rested")
         if request["sent"]:
-            self.extras.append(self.now)
-            recent = [t for t in self.extras if t > self.now - 2000]
-            taken = [t for t in self.takes if t > self.now - 2000]
-            self.need(len(recent) <= 2 + 0.5 * len(taken), "retry budget spent")
+            self.retries.append(self.now)
+            recent_retries = [t for t in self.retries if t > self.now - 2000]
+            recent_arrivals = [t for t in self.arrivals if t > self.now - 2000]
+            self.require(
+                len(recent_retries) <= 2 + 0.5 * len(recent_arrivals), "retry budget spent"
+            )
         attempt = {"engine": action.engine, "zone": entry.zone, "at": self.now}
-        self.out[action.request, request["sent"]] = attempt
+        self.in_flight[action.request, request["sent"]] = attempt
         request["sent"] += 1
 
     def check_answer(self, action: RejectRequest | FailRequest) -> None:
         request = self.open.pop(action.request, None)
-        self.need(request is not None, "a second final answer")
-        self.need(self.now <= request["deadline"] + 20, "a final answer too late")
-        past = request["doubt"] or any(key[0] == action.request for key in self.out)
-        if isinstance(action, RejectRequest) and past:
-            self.need(
+        self.require(request is not None, "a second final answer")
+        self.require(self.now <= request["deadline"] + 20, "a final answer too late")
+        unresolved = request["doubt"] or any(key[0] == action.request for key in self.in_flight)
+        if isinstance(action, RejectRequest) and unresolved:
+            self.require(
                 request["cls"].idempotency is Idempotency.IDEMPOTENT,
                 "refused though it may have run",
             )
@@ -159,27 +166,29 @@
             for _, token in due:
                 self.feed(TimerFired(token))
             for request in list(self.open.values()):
-                self.need(self.now <= request["deadline"] + 20, "no final answer by the deadline")
+                self.require(
+                    self.now <= request["deadline"] + 20, "no final answer by the deadline"
+                )
 
     def arrive(self, index: int, key: str) -> None:
-        cls, self.count = CLASSES[index], self.count + 1
+        query_class, self.count = CLASSES[index], self.count + 1
         name = f"q{self.count}"
         request = {
             "id": name,
-            "cls": cls,
-            "deadline": self.now + cls.deadline_ms,
+            "cls": query_class,
+            "deadline": self.now + query_class.deadline_ms,
             "sent": 0,
             "doubt": [],
-            "key": key if cls.ordered_by_key else None,
+            "key": key if query_class.ordered_by_key else None,
             "rest": 0.0,
         }
         self.open[name] = request
         self.order.append(request)
-        self.takes.append(self.now)
+        self.arrivals.append(self.now)
         self.feed(
             RequestArrived(
                 name,
-                cls.name,
+                query_class.name,
                 request["deadline"],
                 work_ms=100.0 * index,
                 memory_mb=50,
@@ -188,24 +197,24 @@
             )
         )
 
-    def end(self, pick: int, ending: AttemptOutcome) -> None:
-        if not self.out:
+    def end(self, pick: int, outcome: AttemptOutcome) -> None:
+        if not self.in_flight:
             return
-        key = sorted(self.out)[pick % len(self.out)]
-        attempt = self.out.pop(key)
+        key = sorted(self.in_flight)[pick % len(self.in_flight)]
+        attempt = self.in_flight.pop(key)
         request = next(item for item in self.order if item["id"] == key[0])
-        if not ending.never_ran and ending is not AttemptOutcome.SUCCEEDED:
+        if not outcome.never_ran and outcome is not AttemptOutcome.SUCCEEDED:
             request["doubt"].append(attempt)
-        if ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
+        if outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
             request["rest"] = max(request["rest"], self.now + 700)
-        closed = key[0] not in self.open or ending is AttemptOutcome.SUCCEEDED
-        if ending is AttemptOutcome.SUCCEEDED:
+        closed = key[0] not in self.open or outcome is AttemptOutcome.SUCCEEDED
+        if outcome is AttemptOutcome.SUCCEEDED:
             self.open.pop(key[0], None)
         event = AttemptEnded(
             key[0],
             key[1],
             attempt["engine"],
-            ending,
+            outcome,
             self.now - attempt["at"],
             closed,
             report=LoadReport(utilization=0.5, in_flight=3.0, queued=0.0),
@@ -242,32 +251,32 @@
 RESTART = len(ODD_EVENTS)
 
 
-def play_odd_step(world: World, pick: int) -> None:
+def play_odd_step(checker: RuleChecker, pick: int) -> None:
     if pick != RESTART:
-        world.feed(ODD_EVENTS[pick])
+        checker.feed(ODD_EVENTS[pick])
         return
-    world.start()
+    checker.start()
     for name in ENGINES:
-        world.entry(int(name[1]), EndpointState.UP, cold=False)
+        checker.entry(int(name[1]), EndpointState.UP, cold=False)
 
 
 def play(balancer_type: type[LoadBalancer], steps: list, hedging: bool, number: int) -> None:
-    world = World(balancer_type, hedging, number)
+    checker = RuleChecker(balancer_type, hedging, number)
     for pick in range(5):
-        world.entry(pick, EndpointState.UP, cold=False)
+        checker.entry(pick, EndpointState.UP, cold=False)
     for name, *rest in steps:
         if name == "arrive":
-            world.arrive(*rest)
+            checker.arrive(*rest)
         elif name == "end":
-            world.end(*rest)
+            checker.end(*rest)
         elif name == "time":
-            world.pass_time(rest[0])
+            checker.pass_time(rest[0])
         elif name == "entry":
-            world.entry(*rest)
+            checker.entry(*rest)
         else:
-            play_odd_step(world, *rest)
-    world.pass_time(7000)
-    assert not world.open
+            play_odd_step(checker, *rest)
+    checker.pass_time(7000)
+    assert not checker.open
 
 
 @seed(20)
@@ -305,5 +314,5 @@
         ("entry", 0, EndpointState.REMOVED, False),
     ]
     steps += [("arrive", 4, "a"), ("time", 40)] * 10
-    with pytest.raises(BrokenError):
+    with pytest.raises(RuleViolationError):
         play(OpenLoadBalancer, steps, False, 1)
--- a/tests/decisions/test_retry_budget.py
+++ b/tests/decisions/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.decisions.bench import LOOKUP, Bench, make_settings, only
+from tests.decisions.bench import LOOKUP, Bench, make_settings, of_type
 from umberusher.decisions.actions import StartAttempt
 from umberusher.decisions.events import (
     AttemptOutcome,
@@ -16,10 +16,10 @@
     bench = Bench(make_settings(LOOKUP, rules=rules), engines=6)
     for _ in range(6):
         _, actions = bench.arrive()
-        for send in only(actions, StartAttempt):
+        for send in of_type(actions, StartAttempt):
             bench.finish(send, AttemptOutcome.ERROR)
-    extras = sum(count - 1 for count in bench.sent.values())
-    assert 0 < extras <= 1 + 0.5 * 6
+    retries = sum(count - 1 for count in bench.sent.values())
+    assert 0 < retries <= 1 + 0.5 * 6
 
 
 def test_budget_is_not_widened_by_requests_that_clients_cancel():
@@ -31,20 +31,22 @@
     for _ in range(200):
         name, actions = bench.arrive(retry_budget_eligible=False)
         bench.feed(ClientDisconnected(name))
-        for send in only(actions, StartAttempt):
+        for send in of_type(actions, StartAttempt):
             bench.finish(send, AttemptOutcome.WITHDRAWN, closed=True)
     for _ in range(20):
         _, actions = bench.arrive()
-        for send in only(actions, StartAttempt):
+        for send in of_type(actions, StartAttempt):
             bench.finish(send, AttemptOutcome.ERROR)
-    extras = sum(count - 1 for count in bench.sent.values())
-    assert 0 < extras <= 1 + 0.1 * 20
+    retries = sum(count - 1 for count in bench.sent.values())
+    assert 0 < retries <= 1 + 0.1 * 20
 
 
 def test_request_counts_as_of_its_arrival_when_it_is_served():
     rules = Rules(retry_budget_floor=1, retry_budget_ratio=0.1, retry_budget_window_ms=1000)
     bench = Bench(make_settings(rules=rules), engines=3)
-    sends = [only(bench.arrive(retry_budget_eligible=False)[1], StartAttempt)[0] for _ in range(2)]
+    sends = [
+        of_type(bench.arrive(retry_budget_eligible=False)[1], StartAttempt)[0] for _ in range(2)
+    ]
     assert not bench.balancer.retry_budget.requests
     arrived, bench.now = bench.now, bench.now + 400
     bench.arrive()
@@ -66,12 +68,12 @@
             connect_timeout_ms=250,
         )
     )
-    (first,) = only(bench.arrive()[1], StartAttempt)
-    assert only(bench.finish(first, AttemptOutcome.ERROR), StartAttempt)
-    reached = bench.now + 240  # when its connection came up
+    (first,) = of_type(bench.arrive()[1], StartAttempt)
+    assert of_type(bench.finish(first, AttemptOutcome.ERROR), StartAttempt)
+    first_retry_connected_at = bench.now + 240  # when its connection came up
     bench.now += 1010
-    (second,) = only(bench.arrive()[1], StartAttempt)
-    sends = only(bench.finish(second, AttemptOutcome.ERROR), StartAttempt)
+    (second,) = of_type(bench.arrive()[1], StartAttempt)
+    sends = of_type(bench.finish(second, AttemptOutcome.ERROR), StartAttempt)
     while not sends:
-        sends = only(bench.tick(), StartAttempt)
-    assert sends[0].request == second.request and bench.now > reached + 1000
+        sends = of_type(bench.tick(), StartAttempt)
+    assert sends[0].request == second.request and bench.now > first_retry_connected_at + 1000
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.decisions.bench import COLD, Bench, make_settings, only
+from tests.decisions.bench import WARM_UP_RULES, Bench, make_settings, of_type
 from tests.decisions.fleet_player import RULES, Fleet, simulate_fleet, worst_budget_excess
 from umberusher.decisions.actions import StartAttempt
 from umberusher.decisions.events import (
@@ -13,7 +13,7 @@
 )
 from umberusher.decisions.settings import Rules
 
-SECOND_SITE = RULES | {
+OTHER_SITE_RULES = RULES | {
     "warm_up_floor": 0.34,
     "overload_multiple": 2.5,
     "overload_window_ms": 3000.0,
@@ -28,7 +28,7 @@
         (Fleet(20, 8, 1, load=1.2), 1),
         (Fleet(30, 20, 2, load=1.0, outage_at_ms=3000), 1),
         (Fleet(30, 20, 2, load=1.0, outage_at_ms=3000), 2),
-        (Fleet(20, 8, 4, load=1.2, outage_at_ms=3000, rules=SECOND_SITE), 1),
+        (Fleet(20, 8, 4, load=1.2, outage_at_ms=3000, rules=OTHER_SITE_RULES), 1),
         (Fleet(200, 40, 4, load=1.0, outage_at_ms=4500, seconds=6), 1),
         (Fleet(60, 400, 8, load=0.15, outage_at_ms=2000, seconds=4, subset_only=True), 1),
     ],
@@ -48,9 +48,9 @@
     those who look seldom, and was given to those who have the engine in their scope and to all
     others too: where the other engines were lost at once, eight of eight seeds broke it, by 1.3 N
     in the median."""
-    got = simulate_fleet(fleet, seed)
-    assert worst_budget_excess(fleet, got) <= 0
-    calls = sum(map(len, got.values())) / len(got) / fleet.seconds
+    call_times = simulate_fleet(fleet, seed)
+    assert worst_budget_excess(fleet, call_times) <= 0
+    calls = sum(map(len, call_times.values())) / len(call_times) / fleet.seconds
     assert calls > 0.25 * fleet.budget(0) / (
         fleet.rules["overload_multiple"] * fleet.rules["overload_window_ms"] / 1000
     )  # it is used
@@ -61,10 +61,10 @@
     """Found on deploys at size: an equal share was less than one query, so cold engines got
     nothing."""
     benches = [
-        Bench(make_settings(rules=Rules(**COLD), brokers=brokers), 0, seed=number)
+        Bench(make_settings(rules=Rules(**WARM_UP_RULES), brokers=brokers), 0, seed=number)
         for number in range(brokers)
     ]
-    start, sent = benches[0].now, []
+    start, sends = benches[0].now, []
     for bench in benches:
         bench.list_engines("e0", started_ms=start)
     for _ in range(100):
@@ -72,14 +72,14 @@
             bench.now += 20
             for _ in range(20 if brokers < 5 else 1):
                 _, actions = bench.arrive()
-                for send in only(actions, StartAttempt):
-                    sent.append((bench.now, bench.balancer.estimates.by_class["short"].work_ms))
+                for send in of_type(actions, StartAttempt):
+                    sends.append((bench.now, bench.balancer.estimates.by_class["short"].work_ms))
                     bench.finish(send, AttemptOutcome.OVERLOADED, closed=True)
     for first in range(0, 1000, 20):
-        window = sum(work for at, work in sent if start + first <= at <= start + first + 1000)
-        warmth = 0.4 + 0.6 * first / 10_000
-        assert window <= 2 * 0.85 * 8 * warmth * 1000
-    assert sum(work for _, work in sent) > 0.1 * 2 * 0.85 * 8 * 0.4 * 2000
+        window = sum(work for at, work in sends if start + first <= at <= start + first + 1000)
+        warm_up_progress = 0.4 + 0.6 * first / 10_000
+        assert window <= 2 * 0.85 * 8 * warm_up_progress * 1000
+    assert sum(work for _, work in sends) > 0.1 * 2 * 0.85 * 8 * 0.4 * 2000
 
 
 def test_brokers_with_little_traffic_use_a_warming_up_engine_too():
@@ -87,10 +87,10 @@
     share then."""
     brokers, seconds = 150, 8
     benches = [
-        Bench(make_settings(rules=Rules(**COLD), brokers=brokers), 0, seed=number)
+        Bench(make_settings(rules=Rules(**WARM_UP_RULES), brokers=brokers), 0, seed=number)
         for number in range(brokers)
     ]
-    start, sent = benches[0].now, []
+    start, sends = benches[0].now, []
     for bench in benches:
         bench.feed(
             EndpointListUpdate(
@@ -101,28 +101,28 @@
                 complete=True,
             )
         )
-        for usual in bench.balancer.estimates.by_class.values():
-            usual.work_ms = 200.0
+        for estimate in bench.balancer.estimates.by_class.values():
+            estimate.work_ms = 200.0
     for step in range(seconds * 5):
         for number, bench in enumerate(benches):
             bench.now = start + 200 * step + number
             _, actions = bench.arrive()
-            for send in only(actions, StartAttempt):
+            for send in of_type(actions, StartAttempt):
                 if send.engine == "cold":
-                    sent.append((bench.now, bench.balancer.estimates.by_class["short"].work_ms))
-                bench.finish(send, elapsed=200.0)
+                    sends.append((bench.now, bench.balancer.estimates.by_class["short"].work_ms))
+                bench.finish(send, elapsed_ms=200.0)
     budgets = []
     for first in range(0, 1000 * (seconds - 1), 100):
-        window = sum(work for at, work in sent if start + first <= at <= start + first + 1000)
+        window = sum(work for at, work in sends if start + first <= at <= start + first + 1000)
         budgets.append(2 * 0.85 * 8 * (0.4 + 0.6 * first / 10_000) * 1000)
         assert window <= budgets[-1]
-    assert sum(work for _, work in sent) > 0.08 * sum(budgets) / len(budgets) * seconds
+    assert sum(work for _, work in sends) > 0.08 * sum(budgets) / len(budgets) * seconds
 
 
 def test_warm_engine_is_not_held_back():
-    bench = Bench(make_settings(rules=Rules(**COLD)), engines=0)
+    bench = Bench(make_settings(rules=Rules(**WARM_UP_RULES)), engines=0)
     bench.list_engines("e0", started_ms=bench.now)
     bench.now += 20_000
     for _ in range(8):
         bench.arrive()
-    assert len(only(bench.log, StartAttempt)) == 8
+    assert len(of_type(bench.log, StartAttempt)) == 8
--- a/tests/decisions/test_tenant_quotas.py
+++ b/tests/decisions/test_tenant_quotas.py
@@ -19,8 +19,8 @@
     bench.arrive(tenant="small")
     bench.arrive(tenant="unknown")
     bench.arrive()
-    held = [request.priority_weight for request in bench.balancer.queue.requests]
-    assert held.count(0.1) >= 25 and held == sorted(held, reverse=True)
+    weights = [request.priority_weight for request in bench.balancer.queue.requests]
+    assert weights.count(0.1) >= 25 and weights == sorted(weights, reverse=True)
     assert {"r61", "r62", "r63"} <= {
         request.id for request in bench.balancer.queue.requests if request.priority_weight == 1
     }
@@ -30,9 +30,9 @@
     """With 200 brokers a part is less than one request a second: it must not be nothing."""
     settings = make_settings(tenants=(Tenant("big", 20.0),), over_quota_weight=0.1, brokers=200)
     balancer = Bench(settings, 0).balancer
-    found = []
+    weight_factors = []
     now_ms = 1000.0
     for _ in range(10):
         now_ms += 10_000.0
-        found.append(balancer.quotas.consume("big", now_ms))
-    assert found == [1.0] * 10 and balancer.quotas.consume("big", now_ms) == 0.1
+        weight_factors.append(balancer.quotas.consume("big", now_ms))
+    assert weight_factors == [1.0] * 10 and balancer.quotas.consume("big", now_ms) == 0.1
--- a/tests/decisions/test_wake_up_timer.py
+++ b/tests/decisions/test_wake_up_timer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.decisions.bench import Bench, only
+from tests.decisions.bench import Bench, of_type
 from umberusher.decisions.actions import (
     RejectRequest,
     SetTimer,
@@ -17,9 +17,9 @@
     """Found on an overloaded day: the clock is rounded, and a held query was never looked at
     again."""
     bench = Bench(engines=0)
-    _, actions = bench.arrive(wait=3000)
-    while not only(bench.log, RejectRequest):
-        timers = only(actions, SetTimer)
+    _, actions = bench.arrive(timeout_ms=3000)
+    while not of_type(bench.log, RejectRequest):
+        timers = of_type(actions, SetTimer)
         assert timers and bench.now < 4000
         bench.now += timers[0].delay_ms - 1e-4
         actions = bench.feed(TimerFired("tick"))
@@ -27,10 +27,10 @@
 
 def test_no_timer_is_set_when_idle():
     bench = Bench(engines=40)
-    assert not only(bench.log, SetTimer)
+    assert not of_type(bench.log, SetTimer)
     _, actions = bench.arrive()
-    bench.finish(only(actions, StartAttempt)[0])
-    timers = len(only(bench.log, SetTimer))
+    bench.finish(of_type(actions, StartAttempt)[0])
+    timers = len(of_type(bench.log, SetTimer))
     bench.now += 60_000
     bench.feed(TimerFired("tick"))
-    assert timers <= 2 and len(only(bench.log, SetTimer)) == timers
+    assert timers <= 2 and len(of_type(bench.log, SetTimer)) == timers
