--- a/tests/decisions/bench.py
+++ b/tests/decisions/bench.py
@@ -1,4 +1,4 @@
-"""Small builders for tests of the module alone, with a clock of their own."""
+"""Builders of settings and a single broker for tests of the decisions, with a simulated clock."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 class Bench:
-    """One broker, a fake clock and a record of what it did."""
+    """One load balancer with a simulated clock and a log of its actions."""
 
     def __init__(self, settings: Settings | None = None, engines: int = 3, seed: int = 1) -> None:
         self.balancer = LoadBalancer(settings or make_settings(), seed)
@@ -143,5 +143,5 @@
 
 
 def of_type(actions, kind):
-    """The actions of one kind."""
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/decisions/fleet_player.py
+++ b/tests/decisions/fleet_player.py
@@ -1,8 +1,10 @@
-"""A fleet of brokers before engines of which some have just started, on a clock of its own: what
-each engine gets. Owns nothing of the decisions: brokers hear of the list late and each by itself,
-probes tell what an engine holds, a query takes its work over its threads and the engine's warmth.
-Counted is what the users count: calls to an engine in each window, against the N calls of mean work
-that the settings let it have."""
+"""Simulates a fleet of brokers and engines, some just started, and records the calls to the latter.
+
+Each broker receives the endpoint list late and independently. Health checks report the attempts in
+flight on an engine. The latency of a query is its work divided by its threads and by the warm-up
+progress of the engine. The check counts what clients observe: the calls to an engine in each window,
+against the budget of N calls of mean work that the settings allow.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +41,7 @@
 
 CORES, CAPACITY_FRACTION = 8, 0.85
 IDEMPOTENT, NON_IDEMPOTENT = Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT
-QUERY_MIX = (  # class, its share, mean work in ms
+QUERY_MIX = (  # class, its share of the requests, mean work in ms
     (
         QueryClass("lookup", 500, 2500, 1, IDEMPOTENT, objective_stretch=2, late_weight=0.1),
         0.81,
@@ -85,27 +87,28 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """What is played; ``told`` says when a broker hears that the cold engines are there, after
-    their start."""
+    """The scenario; ``notification_delay_ms`` draws the time from the start of the cold engines
+    until a broker is notified of them.
+    """
 
     brokers: int
     warm: int
     cold: int
     seconds: float = 8.0
-    load: float = 0.8  # of what all engines do when warm
-    max_traffic_ratio: float = 4.0  # the most traffic of a broker over the least
+    load: float = 0.8  # as a fraction of the capacity of all engines when warm
+    max_traffic_ratio: float = 4.0  # of the traffic of two brokers
     notification_delay_ms: Callable[[random.Random], float] = field(
         default=lambda rng: 800 + 400 * rng.random()
     )
-    outage_at_ms: float | None = None  # when all warm engines refuse from then on
+    outage_at_ms: float | None = None  # all warm engines refuse connections from then on
     keepalive_ms: float = 15_000.0
     rules: dict[str, float] = field(default_factory=lambda: dict(RULES))
     subset_only: bool = (
-        False  # brokers hear of the list by a route each, which tells them of their scope only
+        False  # each broker has a registry, which notifies it of the engines of its subset only
     )
 
     def budget(self, at_ms: float) -> float:
-        """The calls of a window that begins then, after the start."""
+        """Return the budget of calls in a window that starts at this time after the start."""
         rules = self.rules
         warm_up_progress = min(
             rules["warm_up_floor"] + (1 - rules["warm_up_floor"]) * at_ms / rules["warm_up_ms"], 1.0
@@ -121,7 +124,7 @@
 
 
 def simulate_fleet(fleet: Fleet, seed: int) -> dict[str, list[float]]:
-    """When each cold engine got a call, in ms after its start."""
+    """Return the times of the calls to each cold engine, in ms after its start."""
     rng = random.Random(seed)
     settings = Settings(
         classes=tuple(query_class for query_class, _, _ in QUERY_MIX),
@@ -222,7 +225,7 @@
     weights = [fleet.max_traffic_ratio ** rng.random() for _ in brokers]
     rate = (
         fleet.load * (fleet.warm + fleet.cold) * CAPACITY_FRACTION * CORES / MEAN_WORK_MS
-    )  # calls a ms
+    )  # calls per ms
     gaps = [sum(weights) / weight / rate for weight in weights]
     for number in range(fleet.brokers):
         schedule(start - 6000, number, list_update(warm, 1))
@@ -254,8 +257,9 @@
 
 
 def worst_budget_excess(fleet: Fleet, call_times: dict[str, list[float]]) -> float:
-    """The worst window of all engines: its calls beyond the budget N, in roots of N less the two
-    that are allowed. Positive breaks N + 2 x root of N + 2."""
+    """Return the largest excess of the calls in a window of any engine over N + 2 x root of N + 2,
+    as a fraction of the budget N. A positive excess breaks that bound.
+    """
     worst, window = -99.0, fleet.rules["overload_window_ms"]
     for times in call_times.values():
         last = 0
--- a/tests/decisions/test_abandonment.py
+++ b/tests/decisions/test_abandonment.py
@@ -1,4 +1,4 @@
-"""Abandonment of attempts that go far too slowly."""
+"""Abandonment of attempts that run far too slowly."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from umberusher.decisions.settings import Limits
 
 
-def test_slow_attempt_is_cancelled_and_repeated_elsewhere_where_cancels_are_heeded():
-    """Whether reports are served better with cancels is noise: what is done is checked here."""
+def test_slow_attempt_is_cancelled_and_repeated_elsewhere_where_cancellation_is_allowed():
+    """Checks the actions, because the effect of cancellation on latency is within the noise."""
     bench = Bench(make_settings(limits=Limits(max_attempts=4, cancellation=True)), engines=4)
     _, actions = bench.arrive()
     (first,) = of_type(actions, StartAttempt)
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -17,8 +17,9 @@
 
 
 def limit_after_a_slow_second(gap_ms: float, reported_in_flight: float = 90.0) -> float:
-    """The learned limit after 1 s in which every answer was too slow, and engines told of so many
-    queries."""
+    """Return the learned limit after 1 s in which every answer was too slow, while engines
+    reported this number of queries in flight.
+    """
     bench = Bench(engines=len(ENGINES))
     for slow in (False, True):
         until = bench.now + (1000.0 if slow else 100 * gap_ms)
@@ -39,19 +40,20 @@
     return bench.balancer.concurrency_limit.threads_per_core
 
 
-def test_limit_moves_by_time_however_few_requests_a_broker_has():
-    """Found with 200 brokers of 5 queries a second: after a release the limit hardly fell, and all
-    stood crowded."""
+def test_limit_falls_as_fast_with_few_requests_as_with_many():
+    """With 200 brokers of 5 queries per second, the limit hardly fell after a release, and all
+    engines stayed overloaded.
+    """
     frequent, infrequent = limit_after_a_slow_second(20.0), limit_after_a_slow_second(100.0)
     assert frequent < 0.6 * 2.4 and abs(frequent - infrequent) < 0.1 * 2.4
     assert (
         limit_after_a_slow_second(100.0, reported_in_flight=1.0) > 0.85 * 2.4
-    )  # slow, but not crowded
+    )  # slow, but not overloaded
 
 
 @pytest.mark.parametrize("brokers", [1, 200])
-def test_reserved_share_is_all_that_is_used_when_reports_say_full(brokers):
-    """Found at 243 brokers: one query an engine was always allowed, and all engines stood full."""
+def test_only_the_reserved_share_is_used_when_reports_show_full_engines(brokers):
+    """With 243 brokers, each could always send one query to every engine, and all were full."""
     bench = Bench(make_settings(brokers=brokers), engines=20)
     for _ in range(400):
         _, actions = bench.arrive()
@@ -65,9 +67,10 @@
 
 
 @pytest.mark.parametrize("ordered", [False, True])
-def test_late_request_has_the_limit_of_a_short_one_when_it_keeps_order(ordered):
-    """Found on a day with a busy key: one late load held its line for 20 s, and all behind it came
-    late too."""
+def test_late_request_has_the_limit_of_a_short_one_when_it_is_ordered(ordered):
+    """With a busy key, one late load blocked its key queue for 20 s, and all requests behind it
+    were late too.
+    """
     query_class = QueryClass(
         "load",
         1000,
@@ -91,13 +94,14 @@
 
 
 def test_limit_stays_high_when_one_answer_in_four_is_slow():
-    """Found on days of heavy queries: the learned limit fell to its least, and loads were held till
-    their deadline."""
+    """With heavy queries, the learned limit fell to its minimum, and loads were queued until their
+    deadline.
+    """
     load = QueryClass("load", 9e5, 1e6, 7, Idempotency.NON_IDEMPOTENT, ordered_by_key=True)
     bench = Bench(
         make_settings(QueryClass("short", 1000, 6000, 1, Idempotency.IDEMPOTENT), load), engines=3
     )
-    for _ in range(2):  # the second is held: it waits for its turn
+    for _ in range(2):  # the second is queued: it waits for the first of its key
         bench.arrive("load", 1e6, key="k")
     for number in range(400):
         _, actions = bench.arrive()
--- a/tests/decisions/test_control_sets.py
+++ b/tests/decisions/test_control_sets.py
@@ -10,7 +10,7 @@
 
 
 def test_selection_probability_falls_below_its_start_on_a_large_fleet():
-    """Found by reading: the least odds stood above the starting odds beyond 40 engines."""
+    """With over 40 engines, the least probability was once above the initial one."""
     bench = Bench(engines=300)
     initial_probabilities = {
         engine.id: engine.selection_probability for engine in bench.balancer.engines.values()
--- a/tests/decisions/test_eligibility.py
+++ b/tests/decisions/test_eligibility.py
@@ -1,4 +1,4 @@
-"""The rules on a send, one test for each clause."""
+"""The rules on sending an attempt, with one test for each clause."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("placement", [dict(zones=("here",)), dict(kinds=("big",))])
-def test_placement_holds_when_no_place_is_up(placement):
+def test_request_waits_while_no_engine_fits_its_placement(placement):
     placed = QueryClass("p", 4000, 9000, 5, Idempotency.IDEMPOTENT, **placement)
     bench = Bench(make_settings(placed))
     bench.arrive("p")
--- a/tests/decisions/test_engine_choice.py
+++ b/tests/decisions/test_engine_choice.py
@@ -1,4 +1,4 @@
-"""The choice of an engine: control set, least load, work for each event."""
+"""The choice of an engine: control set, least load, and the cost of each event."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CountingEngineChoice(EngineChoice):
-    """Counts how often an engine is weighed."""
+    """Counts how often an engine is evaluated."""
 
     evaluated_count = 0
 
@@ -26,9 +26,10 @@
 
 
 @pytest.mark.parametrize("all_ejected", [False, True])
-def test_choice_does_not_weigh_the_whole_fleet(all_ejected):
-    """Found at 244 brokers and 41 engines: each event weighed every engine, and days were cut
-    off."""
+def test_choice_does_not_evaluate_every_engine(all_ejected):
+    """With 244 brokers and 41 engines, each event evaluated every engine, and simulated days did
+    not finish.
+    """
     bench = Bench(engines=400)
     bench.balancer.choice.__class__ = CountingEngineChoice
     if all_ejected:
@@ -42,9 +43,10 @@
     assert CountingEngineChoice.evaluated_count < 200 * 25
 
 
-def test_choice_spreads_over_the_list_and_by_cores_when_nothing_is_known():
-    """Found at 200 brokers: between engines held for equal the first of the list won, at all
-    brokers the same one."""
+def test_choice_spreads_over_the_list_and_by_cores_without_load_reports():
+    """With 200 brokers, ties between engines were won by the first of the list, which was the same
+    engine at all brokers.
+    """
     settings, sends_by_engine = make_settings(brokers=200), Counter()
     settings.engine_kinds = (EngineKind("k", 8), EngineKind("large", 16))
     for seed in range(400):
@@ -64,4 +66,4 @@
     assert 0.45 < sum(sends_by_engine[n] for n in range(30)) / total < 0.55
     assert (
         0.42 < sum(sends_by_engine[n] for n in range(0, 60, 3)) / total < 0.58
-    )  # of all cores, half are the large ones'
+    )  # half of all cores belong to the large engines
--- a/tests/decisions/test_engine_pool.py
+++ b/tests/decisions/test_engine_pool.py
@@ -11,8 +11,9 @@
 def count_sends(
     brokers: int, engines: int, gap_ms: float, queries: int
 ) -> tuple[Counter[str], list[int]]:
-    """How often each engine is sent to by all brokers together, and how many engines each of them
-    uses."""
+    """Return the sends to each engine by all brokers together, and the number of engines that each
+    broker uses.
+    """
     sends_by_engine, subset_sizes = Counter(), []
     for seed in range(brokers):
         bench, sends_of_broker = (
@@ -30,16 +31,17 @@
 
 
 def test_subset_has_as_many_engines_as_traffic_keeps_in_use():
-    """Found at 200 brokers and 80 engines: 0.6 new connections a request, each idle for longer
-    than it lives."""
+    """With 200 brokers and 80 engines, there were 0.6 new connections per request, because each was
+    idle for longer than the keepalive time.
+    """
     sends_by_engine, subset_sizes = count_sends(brokers=60, engines=60, gap_ms=200.0, queries=150)
     assert (
         6 <= sorted(subset_sizes)[30] <= 20
-    )  # 15 s of 200 ms are 75 queries: eight each for nine engines
+    )  # 15 s at one query per 200 ms are 75 queries: eight each for nine engines
     mean = sum(sends_by_engine.values()) / 60
     assert (
         len(sends_by_engine) == 60 and max(sends_by_engine.values()) < 2.5 * mean
-    )  # together they use all of them alike
+    )  # together they use all engines equally
 
 
 def test_subset_has_every_engine_when_there_is_much_traffic():
--- a/tests/decisions/test_health_checks.py
+++ b/tests/decisions/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks on behalf of a costly request."""
+"""Health checks for a costly request."""
 
 from __future__ import annotations
 
@@ -27,15 +27,16 @@
 
 
 def answer_check(bench: Bench, engine: str, in_flight: float) -> list[Action]:
-    bench.now += 60  # means over the pool are that old at the most
+    bench.now += 60  # the means over the pool are at most that old
     return bench.feed(
         HealthCheckEnded(engine, AttemptOutcome.SUCCEEDED, 2.0, LoadReport(in_flight=in_flight))
     )
 
 
-def test_costly_request_goes_to_the_lighter_of_the_checked_engines():
-    """Found at 200 brokers: an engine was asked once in 80 s, and crowds drew as many costly
-    queries as idle ones."""
+def test_costly_request_is_sent_to_the_less_loaded_of_the_checked_engines():
+    """With 200 brokers, an engine was checked once in 80 s, and overloaded engines received as many
+    costly queries as idle ones.
+    """
     bench = make_bench(seed=2)
     _, actions = bench.arrive("costly", timeout_ms=15_000)
     first = of_type(actions, CheckHealth)
@@ -76,8 +77,8 @@
     )
 
 
-def test_no_check_is_made_when_checks_bring_nothing_in_time():
-    """Found on a day with late reports: each costly query waited half a second for nothing."""
+def test_no_check_is_made_when_checks_are_not_answered_in_time():
+    """With late reports, each costly query waited half a second in vain."""
     bench = make_bench()
     for number in range(8):
         bench.feed(
--- a/tests/decisions/test_key_order.py
+++ b/tests/decisions/test_key_order.py
@@ -1,4 +1,4 @@
-"""Order keys: one request at a time, in turn, with a cool-down."""
+"""Order keys: one request at a time, in order of arrival, with a cool-down."""
 
 from __future__ import annotations
 
@@ -64,8 +64,7 @@
 
 
 def test_requests_that_wait_for_their_key_do_not_delay_other_keys():
-    """Found on a day with a busy key: half of all loads were refused though the engines had
-    room."""
+    """With a busy key, half of all loads were rejected although the engines had free capacity."""
     query_class = QueryClass(
         "load", 3000, 25_000, 7, Idempotency.NON_IDEMPOTENT, ordered_by_key=True, late_weight=0.5
     )
--- a/tests/decisions/test_load_estimates.py
+++ b/tests/decisions/test_load_estimates.py
@@ -1,4 +1,4 @@
-"""What load reports and answers say of an engine's load."""
+"""Load estimates from load reports and answers."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 
 
 def sends_to_warm_and_warming(warm_in_flight: float, warming_in_flight: float) -> Counter[str]:
-    """Where 40 queries go, one at a time, with four warm engines and four that have just started,
-    one of it known."""
+    """Return the sends to each engine for 40 queries, one at a time, with four warm engines and four
+    that have just started, of which one has reported.
+    """
     bench = Bench(
         make_settings(rules=Rules(**WARM_UP_RULES | {"overload_multiple": 9999}), brokers=400), 0
     )
@@ -41,22 +42,22 @@
     return sends
 
 
-def test_warming_up_engines_are_not_taken_for_as_loaded_as_the_warm_ones():
-    """Found at 40 brokers: 18 new engines held 0.2 threads a core, 12 old ones 4, and three in ten
-    were refused. What little was known of the new ones gave way to the mean of the old, which lay
-    over the limit."""
+def test_warming_up_engines_are_not_assumed_to_be_as_loaded_as_warm_ones():
+    """With 40 brokers, 18 new engines had 0.2 threads per core, 12 old ones had 4, and three in ten
+    requests were rejected. The few reports of the new engines decayed to the mean of the old ones,
+    which was above the limit.
+    """
     sends = sends_to_warm_and_warming(warm_in_flight=32, warming_in_flight=0)
     assert all(sends[f"c{number}"] > 3 for number in range(4))
 
 
-def test_warming_up_engine_does_less_with_the_same_threads():
+def test_warming_up_engine_receives_fewer_requests_at_the_same_load():
     sends = sends_to_warm_and_warming(warm_in_flight=8, warming_in_flight=8)
     assert sum(sends[f"w{number}"] for number in range(4)) >= 35
 
 
 def test_engine_is_tried_again_when_its_report_is_old():
-    """Found on a day of late reports: without queries an engine brings no report, and stood
-    unused."""
+    """With late reports, an engine without queries sent no new report and stayed unused."""
     bench = Bench(make_settings(brokers=2), engines=2)
     for _ in range(40):
         _, actions = bench.arrive()
--- a/tests/decisions/test_open_requests.py
+++ b/tests/decisions/test_open_requests.py
@@ -1,4 +1,4 @@
-"""The one final answer of each request."""
+"""The single final answer of each request."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Engines that fail: ejection, backoff, return, distrust, several troubles at once."""
+"""Engines that fail: ejection, backoff, recovery, the panic threshold and combined failures."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 def send_requests(
     bench: Bench, count: int, failing=frozenset(), gap_ms: float = 50.0, elapsed_ms: float = 100.0
 ) -> list[str]:
-    """Send queries one by one; engines in bad fail to connect. Gives the engines of first sends."""
+    """Send queries one by one, where the failing engines refuse connections.
+
+    Returns the engine of the first attempt of each query.
+    """
     first_engines = []
     for _ in range(count):
         bench.now += gap_ms
@@ -37,7 +40,7 @@
     return first_engines
 
 
-def test_a_dead_engine_is_ejected_and_comes_back():
+def test_dead_engine_is_ejected_and_selected_again_later():
     bench = Bench(engines=4)
     selected = send_requests(bench, 200, failing={"e0"})
     assert selected.count("e0") < 20
@@ -45,14 +48,14 @@
     assert "e0" in send_requests(bench, 100)
 
 
-def test_when_most_engines_look_dead_the_judgement_is_distrusted():
+def test_ejections_are_ignored_when_most_engines_are_ejected():
     bench = Bench(engines=4)
     send_requests(bench, 40, failing={"e0", "e1", "e2"})
     selected = send_requests(bench, 40)
     assert len(set(selected)) >= 2
 
 
-def test_a_slow_engine_gets_less_and_is_forgiven():
+def test_slow_engine_has_a_lower_relative_speed_until_it_recovers():
     bench = Bench(engines=4)
     for _ in range(150):
         bench.now += 20
@@ -70,7 +73,7 @@
     assert balancer.loads.relative_speed(balancer.engines["e0"]) == 1.0
 
 
-def test_frozen_reports_cold_restarts_and_a_stale_list_at_once():
+def test_constant_reports_restarts_and_list_failures_at_once():
     bench = Bench(make_settings(rules=Rules(**WARM_UP_RULES), brokers=2), engines=6)
     constant_report = LoadReport(in_flight=4.0)
     served = 0
@@ -127,7 +130,7 @@
     )
 
 
-def test_extreme_settings_give_sane_decisions():
+def test_every_request_is_answered_once_with_extreme_settings():
     tiny = QueryClass("short", 1, 1, 1, Idempotency.IDEMPOTENT)
     for engines in (1, 300):
         for query_class in (None, tiny):
@@ -144,7 +147,7 @@
             assert len(answers) == 20 and len(of_type(bench.log, StartAttempt)) <= 20
 
 
-def test_a_query_that_errs_on_two_engines_is_answered_and_no_engine_is_left_out():
+def test_request_that_fails_on_two_engines_is_rejected_and_no_engine_is_ejected():
     bench = Bench(engines=4)
     for _ in range(20):
         name, actions = bench.arrive()
@@ -158,7 +161,7 @@
     assert all(engine.ejected_until < bench.now for engine in bench.balancer.engines.values())
 
 
-def test_an_engine_that_errs_where_others_serve_is_left_out():
+def test_engine_is_ejected_when_it_fails_requests_that_others_serve():
     bench = Bench(engines=4)
     for _ in range(60):
         _, actions = bench.arrive()
@@ -170,7 +173,7 @@
     assert bench.balancer.engines["e0"].ejected_until > bench.now
 
 
-def test_a_reset_leaves_an_engine_alone_for_a_moment_only_and_a_refused_connection_for_longer():
+def test_reset_ejects_an_engine_briefly_and_a_refused_connection_for_longer():
     for outcome, ejection_ms in (
         (AttemptOutcome.RESET, 150.0),
         (AttemptOutcome.NO_CONNECTION, 500.0),
@@ -182,7 +185,7 @@
         assert bench.balancer.engines[send.engine].ejected_until == bench.now + ejection_ms
 
 
-def test_groups_of_tables_seen_are_not_kept():
+def test_finished_loads_leave_no_group_counts():
     load = QueryClass("load", 1000, 6000, 1, Idempotency.NON_IDEMPOTENT, locks_group=True)
     bench = Bench(make_settings(load))
     for group in range(50):
@@ -191,7 +194,7 @@
     assert not any(engine.loads_by_group for engine in bench.balancer.engines.values())
 
 
-def test_an_engine_that_leaves_a_probe_unanswered_is_left_out_until_it_answers_one():
+def test_engine_that_does_not_answer_a_health_check_is_ejected_until_it_answers_one():
     bench = Bench(engines=4)
     bench.feed(HealthCheckEnded("e0", AttemptOutcome.TIMED_OUT, 250.0, None))
     sends = [send for _ in range(12) for send in of_type(bench.arrive()[1], StartAttempt)]
@@ -202,7 +205,7 @@
 
 
 def time_out_requests(bench, count=20):
-    """Queries whose answers never come, seen out by their clients."""
+    """Send queries whose answers never arrive, while their clients wait until the deadline."""
     for _ in range(count):
         name, actions = bench.arrive(timeout_ms=6000)
         (send,) = of_type(actions, StartAttempt)
@@ -211,7 +214,7 @@
         bench.finish(send, AttemptOutcome.TIMED_OUT, closed=True, elapsed_ms=6000.0)
 
 
-def test_a_line_waits_less_for_a_load_once_answers_have_been_seen_never_to_come():
+def test_ordered_request_has_a_timeout_after_answers_were_lost():
     ordered = QueryClass("load", 1000, 20_000, 1, Idempotency.NON_IDEMPOTENT, ordered_by_key=True)
     bench = Bench(make_settings(LOOKUP, ordered), engines=4)
     send_requests(bench, 50)
@@ -225,11 +228,11 @@
     actions = bench.finish(first, AttemptOutcome.TIMED_OUT, elapsed_ms=first.timeout_ms)
     assert (
         of_type(actions, FailRequest)[0].request == first.request
-    )  # it may have run: failed at once, not tried again
+    )  # it may have run, so it is failed at once and not retried
     assert second in {send.request for send in of_type(actions + bench.run(1000), StartAttempt)}
 
 
-def test_slow_answers_that_come_are_no_silence():
+def test_slow_answers_that_arrive_do_not_raise_the_stall_probability():
     bench = Bench(engines=4)
     send_requests(bench, 50)
     send_requests(bench, 50, elapsed_ms=5000.0)
--- a/tests/decisions/test_random_events.py
+++ b/tests/decisions/test_random_events.py
@@ -1,4 +1,4 @@
-"""Random legal event streams against an independent checker of the rules."""
+"""Random valid event streams, checked against an independent model of the rules."""
 
 from __future__ import annotations
 
@@ -62,11 +62,11 @@
 
 
 class RuleViolationError(AssertionError):
-    """A rule was broken."""
+    """An action of the load balancer violates a rule."""
 
 
 class RuleChecker:
-    """A caller of the module that knows the rules from the page, not from the code."""
+    """Calls the load balancer and checks its actions by the specified rules, without its code."""
 
     def __init__(self, balancer_type: type[LoadBalancer], hedging: bool, number: int) -> None:
         limits = Limits(**{name: getattr(LIMITS, name) for name in LIMITS.__slots__})
@@ -105,25 +105,31 @@
 
     def check_send(self, action: StartAttempt) -> None:
         request = self.open.get(action.request)
-        self.require(request is not None, "send for a request that has ended")
-        query_class, entry = request["cls"], self.state[action.engine]
-        self.require(entry.state is EndpointState.UP, "send to an engine told draining or gone")
+        self.require(request is not None, "an attempt was sent for a request that has ended")
+        query_class, entry = request["query_class"], self.state[action.engine]
+        self.require(
+            entry.state is EndpointState.UP,
+            "an attempt was sent to an engine that is draining or removed",
+        )
         running = [a for key, a in self.in_flight.items() if key[0] == action.request]
-        self.require(len(running) <= (1 if self.hedging else 0), "too many attempts at once")
-        unresolved = request["doubt"] + running
+        self.require(
+            len(running) <= (1 if self.hedging else 0), "too many attempts are in flight at once"
+        )
+        unresolved = request["unresolved"] + running
         if query_class.idempotency is Idempotency.NON_IDEMPOTENT:
-            self.require(not unresolved, "an unsafe request repeated")
+            self.require(not unresolved, "a non-idempotent request was repeated")
         if query_class.idempotency is Idempotency.KEYED and unresolved:
             self.require(
-                all(a["zone"] == entry.zone for a in unresolved), "a keyed repeat outside its group"
+                all(a["zone"] == entry.zone for a in unresolved),
+                "a keyed request was repeated outside its scope",
             )
             self.require(
                 self.now - unresolved[0]["at"] <= query_class.deduplication_window_ms,
-                "a keyed repeat after its span",
+                "a keyed request was repeated after its deduplication window",
             )
         self.require(
             query_class.zones is None or entry.zone in query_class.zones,
-            "send outside the placement",
+            "an attempt was sent outside the placement",
         )
         if query_class.ordered_by_key and request["key"]:
             for other in self.order:
@@ -132,15 +138,20 @@
                 if other["key"] == request["key"]:
                     attempt_in_flight = any(key[0] == other["id"] for key in self.in_flight)
                     self.require(
-                        other["id"] not in self.open and not attempt_in_flight, "out of turn"
+                        other["id"] not in self.open and not attempt_in_flight,
+                        "an attempt overtook an earlier request of its key",
+                    )
+                    self.require(
+                        self.now >= other["cool_down_until"],
+                        "an attempt was sent before the key has cooled down",
                     )
-                    self.require(self.now >= other["rest"], "sent before the key has rested")
         if request["sent"]:
             self.retries.append(self.now)
             recent_retries = [t for t in self.retries if t > self.now - 2000]
             recent_arrivals = [t for t in self.arrivals if t > self.now - 2000]
             self.require(
-                len(recent_retries) <= 2 + 0.5 * len(recent_arrivals), "retry budget spent"
+                len(recent_retries) <= 2 + 0.5 * len(recent_arrivals),
+                "a retry was sent beyond the retry budget",
             )
         attempt = {"engine": action.engine, "zone": entry.zone, "at": self.now}
         self.in_flight[action.request, request["sent"]] = attempt
@@ -148,13 +159,15 @@
 
     def check_answer(self, action: RejectRequest | FailRequest) -> None:
         request = self.open.pop(action.request, None)
-        self.require(request is not None, "a second final answer")
-        self.require(self.now <= request["deadline"] + 20, "a final answer too late")
-        unresolved = request["doubt"] or any(key[0] == action.request for key in self.in_flight)
+        self.require(request is not None, "a second final answer was sent")
+        self.require(self.now <= request["deadline"] + 20, "a final answer was sent too late")
+        unresolved = request["unresolved"] or any(
+            key[0] == action.request for key in self.in_flight
+        )
         if isinstance(action, RejectRequest) and unresolved:
             self.require(
-                request["cls"].idempotency is Idempotency.IDEMPOTENT,
-                "refused though it may have run",
+                request["query_class"].idempotency is Idempotency.IDEMPOTENT,
+                "a request was rejected although it may have run",
             )
 
     def pass_time(self, ms: float) -> None:
@@ -167,7 +180,7 @@
                 self.feed(TimerFired(token))
             for request in list(self.open.values()):
                 self.require(
-                    self.now <= request["deadline"] + 20, "no final answer by the deadline"
+                    self.now <= request["deadline"] + 20, "no final answer was sent by the deadline"
                 )
 
     def arrive(self, index: int, key: str) -> None:
@@ -175,12 +188,12 @@
         name = f"q{self.count}"
         request = {
             "id": name,
-            "cls": query_class,
+            "query_class": query_class,
             "deadline": self.now + query_class.deadline_ms,
             "sent": 0,
-            "doubt": [],
+            "unresolved": [],
             "key": key if query_class.ordered_by_key else None,
-            "rest": 0.0,
+            "cool_down_until": 0.0,
         }
         self.open[name] = request
         self.order.append(request)
@@ -204,9 +217,9 @@
         attempt = self.in_flight.pop(key)
         request = next(item for item in self.order if item["id"] == key[0])
         if not outcome.never_ran and outcome is not AttemptOutcome.SUCCEEDED:
-            request["doubt"].append(attempt)
+            request["unresolved"].append(attempt)
         if outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
-            request["rest"] = max(request["rest"], self.now + 700)
+            request["cool_down_until"] = max(request["cool_down_until"], self.now + 700)
         closed = key[0] not in self.open or outcome is AttemptOutcome.SUCCEEDED
         if outcome is AttemptOutcome.SUCCEEDED:
             self.open.pop(key[0], None)
@@ -241,7 +254,7 @@
 )
 
 
-# Events that change nothing, or that belong to nothing known.
+# Events without effect, or for unknown requests and engines.
 ODD_EVENTS = (
     EndpointListUpdate(()),
     AttemptProgress("q1", 0, "e0", ProgressKind.PROGRESS, 0.01),
@@ -287,7 +300,7 @@
 
 
 class OpenEligibility(Eligibility):
-    """A gate that is broken: all may be sent anywhere."""
+    """Eligibility without rules: any attempt may be sent to any engine."""
 
     def may_send(self, request, engine, now_ms):
         return True
@@ -300,14 +313,14 @@
 
 
 class OpenLoadBalancer(LoadBalancer):
-    """A load balancer behind the broken gate."""
+    """A load balancer without eligibility rules."""
 
     def __init__(self, *args) -> None:
         super().__init__(*args)
         self.eligibility.__class__ = OpenEligibility
 
 
-def test_checker_catches_a_broken_gate():
+def test_checker_detects_missing_eligibility_rules():
     steps = [
         ("arrive", 2, "a"),
         ("end", 0, AttemptOutcome.RESET),
--- a/tests/decisions/test_request_review.py
+++ b/tests/decisions/test_request_review.py
@@ -1,4 +1,4 @@
-"""Queued and running requests whose time has come."""
+"""Reviews of queued and running requests."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from umberusher.decisions.settings import Idempotency, Limits, QueryClass
 
 
-def test_requests_past_their_objective_do_not_stand_before_timely_ones():
-    """Found on a hot-key day: late queries at the head of the queue starved their whole class."""
+def test_requests_past_their_objective_are_queued_behind_timely_ones():
+    """With a hot key, late queries at the head of the queue starved their whole class."""
     query_class = QueryClass(
         "r", 1000, 20_000, 4, Idempotency.IDEMPOTENT, threads=4, late_weight=0.5
     )
@@ -37,7 +37,7 @@
 
 
 def test_attempt_past_its_objective_frees_its_engine_when_far_from_done():
-    """Found on incident i146258: late queries kept memory and threads, so that all became late."""
+    """Incident i146258: late queries kept memory and threads, so that all queries became late."""
     query_class = QueryClass("r", 1000, 20_000, 4, Idempotency.IDEMPOTENT, late_weight=0.5)
     for done, freed in ((0.2, True), (0.8, False)):
         bench = Bench(make_settings(query_class, limits=Limits(max_attempts=2, cancellation=True)))
@@ -55,8 +55,9 @@
 
 
 def test_queued_request_is_given_up_when_its_expected_latency_has_grown():
-    """Found on a release day: the look was planned at arrival, so that doomed queries were still
-    sent."""
+    """During a release, the review was scheduled at arrival only, so that queries were still sent
+    which could no longer meet their objective.
+    """
     query_class = QueryClass("r", 3000, 20_000, 4, Idempotency.IDEMPOTENT)
     bench = Bench(make_settings(query_class), engines=1)
     bench.balancer.engines["e0"].ejected_until = bench.now + 1e9
@@ -71,7 +72,7 @@
 
 @pytest.mark.parametrize("late_weight", [0.1, 0.5])
 def test_request_given_up_after_an_error_is_rejected_at_once(late_weight):
-    """Guards against an answer held till near the deadline so that the client doesn't ask again."""
+    """An answer must not be delayed until near the deadline to keep the client from retrying."""
     query_class = QueryClass("short", 500, 9000, 1, Idempotency.IDEMPOTENT, late_weight=late_weight)
     limits = Limits(max_attempts=4, retry_after=True, max_retry_after_ms=300)
     bench = Bench(make_settings(query_class, limits=limits), engines=1)
--- a/tests/decisions/test_retry_budget.py
+++ b/tests/decisions/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget as the decisions count it."""
+"""The retry budget of the decisions."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
     assert 0 < retries <= 1 + 0.5 * 6
 
 
-def test_budget_is_not_widened_by_requests_that_clients_cancel():
-    """Found with 200 brokers: one client asked 200 times and took each back; 20 repeats where 113
-    asked in earnest. Taken back or not: what no engine has served is of a client that may never
-    be."""
+def test_requests_that_clients_cancel_do_not_raise_the_budget():
+    """With 200 brokers, one client sent 200 requests and cancelled each, and 20 retries were sent
+    for 113 other requests. A request that no engine has served must not count, cancelled or not:
+    its client may never be served.
+    """
     rules = Rules(retry_budget_floor=1, retry_budget_ratio=0.1, retry_budget_window_ms=1000)
     bench = Bench(make_settings(rules=rules), engines=20)
     for _ in range(200):
@@ -59,9 +60,10 @@
 
 
 def test_retry_counts_for_as_long_as_it_may_have_waited_for_its_connection():
-    """By reading: two further attempts decided just over a window apart reach their engines within
-    one, where the first one's connection came up late. In a window of 10 s the slack bears it, in
-    one of 1 s it does not."""
+    """Two retries decided just over a window apart reach their engines within one window if the
+    connection of the first is made late. A window of 10 s has enough slack for that; one of 1 s
+    does not.
+    """
     bench = Bench(
         make_settings(
             rules=Rules(retry_budget_floor=1, retry_budget_ratio=0, retry_budget_window_ms=1000),
@@ -70,7 +72,7 @@
     )
     (first,) = of_type(bench.arrive()[1], StartAttempt)
     assert of_type(bench.finish(first, AttemptOutcome.ERROR), StartAttempt)
-    first_retry_connected_at = bench.now + 240  # when its connection came up
+    first_retry_connected_at = bench.now + 240  # when its connection is made
     bench.now += 1010
     (second,) = of_type(bench.arrive()[1], StartAttempt)
     sends = of_type(bench.finish(second, AttemptOutcome.ERROR), StartAttempt)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what warming-up engines may be sent by all brokers together."""
+"""Slow start: the limit on what all brokers together send to warming-up engines."""
 
 from __future__ import annotations
 
@@ -35,31 +35,32 @@
     ids=[
         "2",
         "20",
-        "30 whose others are lost",
-        "another seed of it",
-        "20 of the second site",
-        "200 whose others are lost",
-        "60 that are told of their scope alone, whose others are lost",
+        "30 with an outage of the warm engines",
+        "30 with an outage of the warm engines, other seed",
+        "20 with the rules of the other site",
+        "200 with an outage of the warm engines",
+        "60 notified of their subset only, with an outage of the warm engines",
     ],
 )
-def test_no_window_of_a_cold_engine_gets_more_than_its_budget_and_chance(fleet, seed):
-    """By the users' terms: N calls and 2 x root of N + 2, N what the settings allow of mean work.
-    Credit was counted in work, so cheap queries came in any number, was saved for five windows by
-    those who look seldom, and was given to those who have the engine in their scope and to all
-    others too: where the other engines were lost at once, eight of eight seeds broke it, by 1.3 N
-    in the median."""
+def test_no_window_of_a_warming_up_engine_exceeds_its_budget_beyond_chance(fleet, seed):
+    """The bound is N + 2 x root of N + 2 calls, where N is the budget in calls of mean work.
+
+    It was broken because credit was counted in work, so that any number of cheap queries was sent;
+    because brokers with little traffic saved credit for five windows; and because brokers without
+    the engine in their subset had credit too. When all other engines failed at once, eight of eight
+    seeds broke the bound, by 1.3 N in the median.
+    """
     call_times = simulate_fleet(fleet, seed)
     assert worst_budget_excess(fleet, call_times) <= 0
     calls = sum(map(len, call_times.values())) / len(call_times) / fleet.seconds
     assert calls > 0.25 * fleet.budget(0) / (
         fleet.rules["overload_multiple"] * fleet.rules["overload_window_ms"] / 1000
-    )  # it is used
+    )  # the budget is used
 
 
 @pytest.mark.parametrize("brokers", [1, 4, 150])
 def test_all_brokers_together_use_a_warming_up_engine_within_its_budget(brokers):
-    """Found on deploys at size: an equal share was less than one query, so cold engines got
-    nothing."""
+    """With many brokers, an equal share was less than one query, so cold engines received nothing."""
     benches = [
         Bench(make_settings(rules=Rules(**WARM_UP_RULES), brokers=brokers), 0, seed=number)
         for number in range(brokers)
@@ -83,8 +84,9 @@
 
 
 def test_brokers_with_little_traffic_use_a_warming_up_engine_too():
-    """Found at 200 brokers: each drew a cold engine once in 8 s, and staked half a window of its
-    share then."""
+    """With 200 brokers, each selected a cold engine once in 8 s, and then drew at random with credit
+    for half a window of its share.
+    """
     brokers, seconds = 150, 8
     benches = [
         Bench(make_settings(rules=Rules(**WARM_UP_RULES), brokers=brokers), 0, seed=number)
@@ -119,7 +121,7 @@
     assert sum(work for _, work in sends) > 0.08 * sum(budgets) / len(budgets) * seconds
 
 
-def test_warm_engine_is_not_held_back():
+def test_warm_engine_is_not_limited():
     bench = Bench(make_settings(rules=Rules(**WARM_UP_RULES)), engines=0)
     bench.list_engines("e0", started_ms=bench.now)
     bench.now += 20_000
--- a/tests/decisions/test_tenant_quotas.py
+++ b/tests/decisions/test_tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: what is beyond them weighs less."""
+"""Tenant quotas: requests beyond them have a lower priority weight."""
 
 from __future__ import annotations
 
@@ -6,13 +6,12 @@
 from umberusher.decisions.settings import Tenant
 
 
-def test_surge_of_a_tenant_is_queued_behind_what_is_within_the_quotas():
-    """Found on the second site: a chain that sent several times its share was served like the
-    others."""
+def test_surge_of_a_tenant_is_queued_behind_requests_within_the_quotas():
+    """At one site, a tenant that sent several times its quota was served like the others."""
     settings = make_settings(
         tenants=(Tenant("big", 20.0), Tenant("small", 20.0)), over_quota_weight=0.1
     )
-    bench = Bench(settings, 0)  # no engine: all is held, in the order in which it would go
+    bench = Bench(settings, 0)  # without engines all requests are queued, in order
     for _ in range(60):
         bench.now += 10
         bench.arrive(tenant="big")
@@ -26,8 +25,8 @@
     }
 
 
-def test_quota_lets_requests_through_when_a_broker_has_a_small_part_of_it():
-    """With 200 brokers a part is less than one request a second: it must not be nothing."""
+def test_quota_admits_requests_when_the_share_of_a_broker_is_small():
+    """With 200 brokers, the share of one is under one request per second, but must not be zero."""
     settings = make_settings(tenants=(Tenant("big", 20.0),), over_quota_weight=0.1, brokers=200)
     balancer = Bench(settings, 0).balancer
     weight_factors = []
--- a/tests/decisions/test_wake_up_timer.py
+++ b/tests/decisions/test_wake_up_timer.py
@@ -1,4 +1,4 @@
-"""When the load balancer asks for a timer."""
+"""When the load balancer requests a timer."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 
 
 def test_timer_is_set_again_when_it_fires_early():
-    """Found on an overloaded day: the clock is rounded, and a held query was never looked at
-    again."""
+    """The clock of a broker is rounded, so a timer may fire early; under overload, a queued query
+    was then never reviewed again.
+    """
     bench = Bench(engines=0)
     _, actions = bench.arrive(timeout_ms=3000)
     while not of_type(bench.log, RejectRequest):
