--- a/umberusher/decisions/concurrency_limit.py
+++ b/umberusher/decisions/concurrency_limit.py
@@ -72,7 +72,7 @@
         return self.threads_per_core
 
     def has_reserved_share(self, request: Request, now_ms: float) -> bool:
-        """Return whether the reserved share of this broker has room for the request.
+        """Return whether the reserved share of this broker has free capacity for the request.
 
         Without a reserved share, late load reports could stop all sends.
         """
--- a/umberusher/decisions/load_estimates.py
+++ b/umberusher/decisions/load_estimates.py
@@ -88,7 +88,7 @@
         return math.exp((engine.reported_at - now_ms) / REPORT_STALE_MS)
 
     def invalidate(self) -> None:
-        """Let the next request survey the pool again, however recent the last survey is."""
+        """Make the next request survey the pool again, however recent the last survey is."""
         self.surveyed_at = -math.inf
         self._pool.changed = True
 
