--- a/umberusher/decisions/engine_choice.py
+++ b/umberusher/decisions/engine_choice.py
@@ -1,4 +1,4 @@
-"""The choice of an engine for one request: a control set is drawn, the least loaded of it taken."""
+"""The choice of an engine for a request: the least loaded engine of a random control set."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from umberusher.decisions.request import Request
 from umberusher.decisions.slow_start import SlowStart
 
-# Engines that are tried for a request whose control set came out empty, at most.
+# At most this many engines are tried for a request whose control set is empty.
 MAX_SAMPLED_ENGINES = 8
-# Candidates taken from them.
+# At most this many of them become candidates.
 SAMPLED_SET_SIZE = 2
 
 
 class EngineChoice:
-    """Draws a fresh control set for a request and picks the engine with least load of it."""
+    """Draws a new control set for each request and selects its least loaded engine."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._rng = rng
 
     def choose(self, request: Request, now_ms: float) -> Engine | None:
-        """Return the engine that a request is to be sent to; None where it waits."""
+        """Return the engine for a request; None if the request must wait."""
         pool = self._pool
         if not pool.up or not self._eligibility.may_attempt(request, now_ms):
             return None
@@ -53,14 +53,15 @@
             self._loads.survey(now_ms)
             self._outliers.update_panic(now_ms)
         candidates = self._draw(request, now_ms)
-        chance = self._rng.random
+        draw_uniform = self._rng.random
         load = self._loads.load
         threads = request.query_class.threads
         while candidates:
-            # By lot between equals: of many brokers that know little, each would take the first.
+            # Ties are broken at random: otherwise brokers without load reports would all select the
+            # first engine of the list.
             best = min(
                 candidates,
-                key=lambda engine: (load(engine, now_ms) + threads / engine.cores, chance()),
+                key=lambda engine: (load(engine, now_ms) + threads / engine.cores, draw_uniform()),
             )
             if self._health_checks.check_for(request, best, now_ms):
                 return None
@@ -75,18 +76,18 @@
 
     def _draw(self, request: Request, now_ms: float) -> list[Engine]:
         """Draw the control set of a request: every engine by its own probability."""
-        chance = self._rng.random
+        draw_uniform = self._rng.random
         fits = self.fits
         drawn = [
             engine
             for engine in self._pool.up
-            if chance() < engine.selection_probability and fits(request, engine, now_ms)
+            if draw_uniform() < engine.selection_probability and fits(request, engine, now_ms)
         ]
         if not drawn:
             drawn = self._sample(request, now_ms)
         if not request.checked_engines:
             return drawn
-        # Of the engines that were asked for their load, those that have answered.
+        # Of the engines whose health was checked for this request, only those that have answered.
         answered = [
             engine
             for engine in request.checked_engines
@@ -97,16 +98,16 @@
     def _sample(self, request: Request, now_ms: float) -> list[Engine]:
         """Return up to two engines in place of an empty draw, from the subset first.
 
-        Engines that are only unwelcome are taken last.
+        Engines that are allowed but not preferred are selected last.
         """
         pool = self._pool
         placed = request.query_class.zones or request.query_class.kinds
         bounded = not (request.unresolved or placed)
-        for engines, welcome_only in ((pool.subset, True), (pool.up, True), (pool.up, False)):
+        for engines, preferred_only in ((pool.subset, True), (pool.up, True), (pool.up, False)):
             count = min(len(engines), MAX_SAMPLED_ENGINES) if bounded else len(engines)
             order = self._rng.sample(engines, count)
             fitting = (
-                engine for engine in order if self.fits(request, engine, now_ms, welcome_only)
+                engine for engine in order if self.fits(request, engine, now_ms, preferred_only)
             )
             found = list(islice(fitting, SAMPLED_SET_SIZE))
             if found:
@@ -114,7 +115,7 @@
         return []
 
     def fits(
-        self, request: Request, engine: Engine, now_ms: float, welcome_only: bool = True
+        self, request: Request, engine: Engine, now_ms: float, preferred_only: bool = True
     ) -> bool:
         """Return whether an engine may be a candidate for a request.
 
@@ -122,12 +123,12 @@
             request: The request.
             engine: The engine.
             now_ms: The time.
-            welcome_only: Turn away the engine of the last attempt, too, and one that a load with
+            preferred_only: Also exclude the engine of the last attempt, and one that a load with
                 the request's group runs on.
         """
         if engine.ejected_until > now_ms and not self._outliers.panic:
             return False
-        if welcome_only:
+        if preferred_only:
             if engine is request.avoided_engine:
                 return False
             query_class = request.query_class
@@ -135,6 +136,6 @@
                 request.group
             ]:
                 return False
-        return self._eligibility.may_use(request, engine, now_ms) and self._slow_start.may_try(
+        return self._eligibility.may_use(request, engine, now_ms) and self._slow_start.may_grant(
             request, engine, now_ms
         )
