--- a/tests/protocol/test_thrift.py
+++ b/tests/protocol/test_thrift.py
@@ -36,7 +36,7 @@
     assert (found.seqid, found.kind) == (9, thrift.UNKNOWN_METHOD)
 
 
-@pytest.mark.parametrize("size", [0, -1, thrift.MAX_FRAME + 1])
+@pytest.mark.parametrize("size", [0, -1, thrift.MAX_FRAME_BYTES + 1])
 def test_next_frame_is_malformed_when_size_is_impossible(size):
     ring = RingBuffer(100)
     ring.write(struct.pack(">i", size))
--- a/umberusher/frontend/thrift_frontend.py
+++ b/umberusher/frontend/thrift_frontend.py
@@ -86,7 +86,9 @@
         self.schema = schema
         self.origin_of_port = origin_of_port
         memory_bytes = memory_mb * BYTES_PER_MB
-        self.max_frame_bytes = min(int(memory_bytes * MAX_FRAME_MEMORY_FRACTION), thrift.MAX_FRAME)
+        self.max_frame_bytes = min(
+            int(memory_bytes * MAX_FRAME_MEMORY_FRACTION), thrift.MAX_FRAME_BYTES
+        )
         large_calls_bytes = memory_bytes * LARGE_CALLS_MEMORY_FRACTION
         self.max_large_calls = max(int(large_calls_bytes / self.max_frame_bytes), 1)
         self.large_calls: set[ClientConnection] = set()
--- a/umberusher/protocol/thrift.py
+++ b/umberusher/protocol/thrift.py
@@ -15,7 +15,7 @@
 from umberusher.net.ring import RingBuffer
 
 # The largest frame, whatever the memory; a larger one closes the connection.
-MAX_FRAME = 1 << 20
+MAX_FRAME_BYTES = 1 << 20
 # How deep unknown fields may nest.
 MAX_NESTING = 8
 # Characters of an unknown method's name that are repeated in a log line.
@@ -213,7 +213,7 @@
 _INTERRUPT_ARGUMENTS = {1: (I32, _Reader.i32)}
 
 
-def next_frame(ring: RingBuffer, max_bytes: int = MAX_FRAME) -> bytes | Malformed | None:
+def next_frame(ring: RingBuffer, max_bytes: int = MAX_FRAME_BYTES) -> bytes | Malformed | None:
     """Take the next complete frame from the ring.
 
     Args:
