--- a/umberusher/endpoints/registry.py
+++ b/umberusher/endpoints/registry.py
@@ -118,9 +118,9 @@
 
     def find(self, engine: str) -> Endpoint | None:
         """Return the engine if something new may be sent to it."""
-        return self.directory[engine] if self.open(engine) else None
+        return self.directory[engine] if self.is_available(engine) else None
 
-    def open(self, engine: str) -> bool:
+    def is_available(self, engine: str) -> bool:
         """Whether something new may be sent to an engine."""
         slot = self.directory.slots.get(engine)
         return slot is not None and self.directory.states[slot] == STATE_UP
--- a/umberusher/upstream/connection_pool.py
+++ b/umberusher/upstream/connection_pool.py
@@ -157,7 +157,7 @@
         """Close the idle connections that will not be used again."""
         now_ms = self._context.now_ms()
         for each in self._all():
-            if each.is_expiring(now_ms) or not self._context.endpoints.open(each.engine):
+            if each.is_expiring(now_ms) or not self._context.endpoints.is_available(each.engine):
                 each.close_if_idle()
 
     def silent_connections(self, engine: str, silent_since_ms: float) -> list[EngineConnection]:
