--- a/umberusher/broker/restart_host.py
+++ b/umberusher/broker/restart_host.py
@@ -76,7 +76,7 @@
 
         What is listed counts as once listed in the successor too.
         """
-        recalled = self._endpoints.recall_times()
+        recalled = self._endpoints.drain_end_times()
         return Greeting(
             once_listed=list(self._endpoints.removed_ids),
             manual_drains=self._endpoints.manual_drains,
@@ -140,7 +140,7 @@
             self._endpoints.start_manual_drain(engine, since_unix_ms)
         # Guards engines that warm up: the discovery service may not know when they started.
         for engine, unix_ms in greeting.recalled.items():
-            self._endpoints.restore_recall(engine, unix_ms)
+            self._endpoints.restore_drain_end(engine, unix_ms)
         if greeting.teams:
             self.apply_team_budgets(greeting.teams)
         self._frontend.adopt_listener(handover.listener)
--- a/umberusher/endpoints/manual_drains.py
+++ b/umberusher/endpoints/manual_drains.py
@@ -86,7 +86,7 @@
             )
 
 
-class Recall(NamedTuple):
+class DrainEnd(NamedTuple):
     """When an engine was called back from a manual drain.
 
     Attributes:
--- a/umberusher/endpoints/publisher.py
+++ b/umberusher/endpoints/publisher.py
@@ -6,7 +6,7 @@
 
 from umberusher.decisions.events import EndpointListUpdate, EndpointState, EndpointUpdate, Event
 from umberusher.endpoints.directory import STATES, EndpointDirectory
-from umberusher.endpoints.manual_drains import Recall
+from umberusher.endpoints.manual_drains import DrainEnd
 from umberusher.endpoints.subset import EndpointSubset, SubsetChange
 
 
@@ -24,7 +24,7 @@
         self, post: Callable[[Event], None], directory: EndpointDirectory, subset: EndpointSubset
     ) -> None:
         self.post = post
-        self.recalls: dict[str, Recall] = {}
+        self.drain_ends: dict[str, DrainEnd] = {}
         self._directory = directory
         self._subset = subset
 
@@ -63,7 +63,7 @@
 
     def _started_ms(self, engine: str, slot: int) -> float | None:
         announced_unix_ms = self._directory.started_unix_ms[slot]
-        recall = self.recalls.get(engine)
-        if recall is not None and recall.unix_ms > announced_unix_ms:
-            return recall.timeline_ms
+        drain_end = self.drain_ends.get(engine)
+        if drain_end is not None and drain_end.unix_ms > announced_unix_ms:
+            return drain_end.timeline_ms
         return self._directory.started_ms[slot] if announced_unix_ms else None
--- a/umberusher/endpoints/registry.py
+++ b/umberusher/endpoints/registry.py
@@ -13,7 +13,7 @@
     Endpoint,
     EndpointDirectory,
 )
-from umberusher.endpoints.manual_drains import ManualDrains, Recall, RemovedIds
+from umberusher.endpoints.manual_drains import DrainEnd, ManualDrains, RemovedIds
 from umberusher.endpoints.publisher import SubsetPublisher
 from umberusher.endpoints.subset import EndpointSubset
 from umberusher.endpoints.subset_ring import SubsetRing
@@ -180,7 +180,7 @@
         slot = self.directory.remove(engine)
         if slot is not None and self.subset.remove(engine, slot):
             effects.removed.append(engine)
-        self.publisher.recalls.pop(engine, None)
+        self.publisher.drain_ends.pop(engine, None)
         self.remember_removed(engine)
 
     def _update_state(self, slot: int) -> None:
@@ -264,27 +264,29 @@
             return self._is_known(engine)
         slot = self.directory.slots.get(engine)
         if slot is not None:
-            self._recall(engine, self._started_since(slot, since_unix_ms))
+            self._record_drain_end(engine, self._started_since(slot, since_unix_ms))
             self._on_moved(self.directory[engine])
             self._update_state(slot)
             self._publish_engine(engine)
         self._on_manual_drain(engine, None)
         return True
 
-    def recall_times(self) -> dict[str, float]:
+    def drain_end_times(self) -> dict[str, float]:
         """Return when engines were called back, as Unix time in ms."""
-        return {engine: recall.unix_ms for engine, recall in self.publisher.recalls.items()}
+        return {
+            engine: drain_end.unix_ms for engine, drain_end in self.publisher.drain_ends.items()
+        }
 
-    def restore_recall(self, engine: str, unix_ms: float) -> None:
+    def restore_drain_end(self, engine: str, unix_ms: float) -> None:
         """Take over from another process when an engine was called back."""
-        known = self.publisher.recalls.get(engine)
+        known = self.publisher.drain_ends.get(engine)
         is_newer = unix_ms > (known.unix_ms if known else 0.0)
         if is_newer and engine in self.directory:
-            self._recall(engine, unix_ms)
+            self._record_drain_end(engine, unix_ms)
             self._publish_engine(engine)
 
-    def _recall(self, engine: str, unix_ms: float) -> None:
-        self.publisher.recalls[engine] = Recall(unix_ms, self._to_timeline_ms(unix_ms))
+    def _record_drain_end(self, engine: str, unix_ms: float) -> None:
+        self.publisher.drain_ends[engine] = DrainEnd(unix_ms, self._to_timeline_ms(unix_ms))
 
     def _started_since(self, slot: int, since_unix_ms: float) -> float:
         """Return the announced start if it is later than a time, else now.
