--- a/tests/endpoints/test_subset.py
+++ b/tests/endpoints/test_subset.py
@@ -80,7 +80,7 @@
 def count_work(monkeypatch) -> Counter[str]:
     """Entries that the scope weighs, hashes and the walks over all."""
     work: Counter[str] = Counter()
-    place, hashed = EndpointSubset._place, subset_ring.hash_bits
+    place, hashed = EndpointSubset._update_membership, subset_ring.hash_bits
 
     def placed(self, *rest):
         work["placed"] += 1
@@ -90,7 +90,7 @@
         work["hashed"] += 1
         return hashed(*rest)
 
-    monkeypatch.setattr(EndpointSubset, "_place", placed)
+    monkeypatch.setattr(EndpointSubset, "_update_membership", placed)
     monkeypatch.setattr(subset_ring, "hash_bits", scattered)
     return work
 
--- a/umberusher/endpoints/__init__.py
+++ b/umberusher/endpoints/__init__.py
@@ -1,5 +1,5 @@
-"""Endpoint list: all engines that are listed, and the subset of them that this broker uses.
+"""The endpoint list: all listed engines, and the subset of them that this broker uses.
 
-Without I/O and without exchange between brokers.
+The package does no I/O and needs no communication between brokers.
 :class:`~umberusher.endpoints.registry.EndpointRegistry` is the entry point.
 """
--- a/umberusher/endpoints/companions.py
+++ b/umberusher/endpoints/companions.py
@@ -11,8 +11,8 @@
 class CompanionIndex:
     """Slots of a directory by zone and by cell.
 
-    It is rebuilt after a change of the directory, but only where it is asked for: most brokers
-    never do.
+    It is rebuilt on the first lookup after a change of the directory: most brokers never look
+    anything up in it.
     """
 
     def __init__(self, directory: EndpointDirectory) -> None:
@@ -22,7 +22,7 @@
         self._by_cell: dict[int | None, list[int]] = {}
 
     def invalidate(self) -> None:
-        """Forget the index: the directory has changed."""
+        """Discard the index because the directory has changed."""
         if self._is_built:
             self._is_built = False
             self._by_zone.clear()
@@ -31,7 +31,7 @@
     def find(self, slot: int, scope: DeduplicationScope) -> Sequence[int]:
         """Return the slots in the same zone or cell as a slot, itself among them.
 
-        The list is empty where the scope is all engines, or the engine's zone or cell is not known.
+        The result is empty if the scope is all engines, or if the engine's zone or cell is unknown.
         """
         profile = self._directory.profiles[slot]
         if scope is DeduplicationScope.ZONE and profile.zone is not None:
--- a/umberusher/endpoints/directory.py
+++ b/umberusher/endpoints/directory.py
@@ -1,9 +1,9 @@
-"""The directory: every listed engine, in columns by slot.
+"""The directory of every listed engine, stored in columns that are indexed by slot.
 
-Columns (one array a field, one index an engine) in place of an object an engine keep the memory of
-a broker small where 32,000 engines are listed, most of which it never uses: numbers and states
-stand in arrays of machine values, and the zone, kind, cell and weight that many engines share are
-one object. A change touches one slot; nothing here looks over all of them.
+There is one array per field instead of one object per engine. This keeps a broker's memory small
+when 32,000 engines are listed, most of which it never uses: numbers and states are stored in arrays
+of machine values, and engines with equal zone, kind, cell and weight share one profile object. A
+change touches one slot; no operation scans all slots.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from umberusher.decisions.events import EndpointState, EndpointUpdate
 
 ZoneAndKind = tuple[str | None, str | None]
-"""What a query class may ask for."""
+"""The properties to which a query class can be bound."""
 
 ProfileFields = tuple[str | None, str | None, int | None, float | None]
-"""The fields of a :class:`Profile`, which equal it."""
+"""The fields of a :class:`Profile` as a plain tuple, which compares equal to the profile."""
 
-UNKNOWN_ADDRESS = ("", 0)  # of an engine that is listed without one; nothing new goes there
+UNKNOWN_ADDRESS = ("", 0)  # of an engine listed without an address; it gets no new requests
 
-# States as the columns hold them.
+# Numbers by which the columns store the states; each is an index into STATES.
 STATE_UP = 0
 STATE_DRAINING = 1
 STATE_REMOVED = 2
 STATES = (EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED)
 
-# Profiles that are remembered to be shared. Cells may come and go: over this all are forgotten, and
-# shared anew as they are seen.
+# Size limit of the cache of shared profiles. Cells can be added and removed without end: above the
+# limit the cache is cleared, and profiles are cached again as they are used.
 MAX_SHARED_PROFILES = 4_096
 
 
 class Profile(NamedTuple):
-    """What many engines have in common."""
+    """The properties of an engine that many engines have in common."""
 
     zone: str | None
     kind: str | None
@@ -46,19 +46,19 @@
 
 NO_PROFILE = Profile(
     None, None, None, None
-)  # of an engine of which nothing is known, and of a free slot
+)  # of an engine whose properties are unknown, and of a free slot
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One listed engine. Its key is the instance id, since addresses are used again.
+    """One listed engine. Its key is the instance id, since addresses are reused.
 
     Attributes:
         engine: Instance id.
         address: Host and port.
-        state: As it counts for this broker: a manual drain makes an engine that is up a draining
-            one.
-        last_update: As the discovery service last announced it.
+        state: The effective state at this broker: an engine that is announced as up counts as
+            draining during a manual drain.
+        last_update: The engine as the discovery service last announced it.
     """
 
     engine: str
@@ -68,22 +68,22 @@
 
 
 class EndpointDirectory(Mapping[str, Endpoint]):
-    """Listed engines by instance id. Slots of removed engines are used again.
+    """Listed engines by instance id. Slots of removed engines are reused.
 
-    The columns are read directly where thousands of engines are looked at.
+    Callers that scan thousands of engines read the columns directly.
 
     Attributes:
         slots: Slot by instance id.
         ids: Instance ids by slot; None in a free slot.
         profiles: Profiles by slot.
         announced_states: States as announced by the discovery service, by slot.
-        states: States as they count for this broker, by slot.
-        started_unix_ms: Announced starts by slot, in Unix time; 0 where none was announced.
-        started_ms: The same moments on the broker's own timeline. They are converted once, when
-            announced: converted again they would differ by the clocks' resolution, and an engine
-            would seem to have restarted.
+        states: Effective states at this broker, by slot.
+        started_unix_ms: Announced start times by slot, in Unix time; 0 where none was announced.
+        started_ms: The same times on the broker's own timeline. They are converted once, when
+            announced: a second conversion would differ by the resolution of the clocks, and the
+            engine would appear to have restarted.
         up_count: Number of engines that are up.
-        up_count_by_group: The same by zone and kind.
+        up_count_by_group: Number of engines that are up, by zone and kind.
     """
 
     def __init__(self) -> None:
@@ -122,7 +122,7 @@
         )
 
     def _last_update(self, engine: str, slot: int) -> EndpointUpdate:
-        """Return an engine as last announced; its start is in Unix time."""
+        """Return an engine as last announced; its start time is in Unix time."""
         profile = self.profiles[slot]
         return EndpointUpdate(
             engine,
@@ -143,25 +143,25 @@
 
         Args:
             entry: The engine as announced.
-            address: Its address; None leaves the known one.
-            started_ms: Its start on the broker's timeline, used if another start is announced than
-                before.
+            address: Its address; None keeps the known one.
+            started_ms: Its start time on the broker's timeline, used only if the announced start
+                time has changed.
 
         Returns:
-            Whether an engine that was listed has moved to another address.
+            Whether an engine that was already listed has moved to another address.
         """
         slot = self.slots.get(entry.engine)
         if slot is None:
-            slot = self._take_slot(entry.engine)
+            slot = self._allocate_slot(entry.engine)
             self._hosts[slot], self._ports[slot] = address or UNKNOWN_ADDRESS
             address_changed = False
         else:
             address_changed = self._change_address(slot, address)
         profile = (entry.zone, entry.kind, entry.cell, entry.weight)
         if profile != self.profiles[slot]:
-            self._count(slot, -1)
-            self.profiles[slot] = self._share(profile)
-            self._count(slot, 1)
+            self._adjust_up_counts(slot, -1)
+            self.profiles[slot] = self._shared_profile(profile)
+            self._adjust_up_counts(slot, 1)
         started_unix_ms = entry.started_ms or 0.0
         if started_unix_ms != self.started_unix_ms[slot]:
             self.started_unix_ms[slot] = started_unix_ms
@@ -170,23 +170,23 @@
         return address_changed
 
     def set_state(self, slot: int, state: int) -> None:
-        """Set how an engine counts for this broker: ``STATE_UP`` or ``STATE_DRAINING``."""
-        self._count(slot, -1)
+        """Set the effective state of an engine: ``STATE_UP`` or ``STATE_DRAINING``."""
+        self._adjust_up_counts(slot, -1)
         self.states[slot] = state
-        self._count(slot, 1)
+        self._adjust_up_counts(slot, 1)
 
     def remove(self, engine: str) -> int | None:
-        """Remove an engine; return the slot that it had, None where it was not listed."""
+        """Remove an engine; return the slot that it had, or None if it was not listed."""
         slot = self.slots.pop(engine, None)
         if slot is not None:
-            self._count(slot, -1)
+            self._adjust_up_counts(slot, -1)
             self.ids[slot] = None
             self.profiles[slot] = NO_PROFILE
             self.states[slot] = STATE_REMOVED
             self._free_slots.append(slot)
         return slot
 
-    def _take_slot(self, engine: str) -> int:
+    def _allocate_slot(self, engine: str) -> int:
         if self._free_slots:
             slot = self._free_slots.pop()
             self.ids[slot] = engine
@@ -206,14 +206,14 @@
         return slot
 
     def _change_address(self, slot: int, address: tuple[str, int] | None) -> bool:
-        """Set another address, if there is one; return whether it differs."""
+        """Set the address, if one is given; return whether it differs from the known one."""
         if address is None or (self._hosts[slot], self._ports[slot]) == address:
             return False
         self._hosts[slot], self._ports[slot] = address
         return True
 
-    def _share(self, fields: ProfileFields) -> Profile:
-        """Return the one object that all engines of a profile share."""
+    def _shared_profile(self, fields: ProfileFields) -> Profile:
+        """Return the profile object that all engines with these fields share."""
         profile = self._shared_profiles.get(fields)
         if profile is None:
             if len(self._shared_profiles) > MAX_SHARED_PROFILES:
@@ -222,8 +222,8 @@
             self._shared_profiles[profile] = profile
         return profile
 
-    def _count(self, slot: int, step: int) -> None:
-        """Add to the counts of engines that are up, if this one is."""
+    def _adjust_up_counts(self, slot: int, step: int) -> None:
+        """Add ``step`` to the counts of engines that are up, if this engine is up."""
         if self.states[slot] != STATE_UP:
             return
         profile = self.profiles[slot]
@@ -231,5 +231,5 @@
         self.up_count += step
         self.up_count_by_group[group] += step
         if not self.up_count_by_group[group]:
-            # Guards memory: zones and kinds are free texts, so there may be any number of them.
+            # Bounds memory: zones and kinds are free texts, so there may be any number of them.
             del self.up_count_by_group[group]
--- a/umberusher/endpoints/manual_drains.py
+++ b/umberusher/endpoints/manual_drains.py
@@ -1,6 +1,7 @@
-"""Manual drains: engines that staff have taken out until called back; ids of removed engines.
+"""Manual drains, which operators start and end by hand, and the ids of removed engines.
 
-All are bounded: instance ids are always new, so nothing may grow with the ids seen.
+All collections are bounded: new engines always have new instance ids, so a collection that kept
+every id would grow without end.
 """
 
 from __future__ import annotations
@@ -11,16 +12,16 @@
 
 log = logging.getLogger(__name__)
 
-# Ids that were listed once and are not now; they can still be drained by hand.
+# Limit of ids that are no longer listed; an operator can still drain them.
 MAX_REMOVED_IDS = 4_096
-# Manual drains; over this the oldest one of an engine that is not listed is dropped.
+# Limit of manual drains; above it the oldest drain of an engine that is not listed is dropped.
 MAX_MANUAL_DRAINS = 1_024
 
 
 class RemovedIds(Collection[str]):
-    """Ids that were listed and are not now, the newest last.
+    """Ids that are no longer listed, the newest last.
 
-    Over ``MAX_REMOVED_IDS`` the oldest is dropped.
+    Above ``MAX_REMOVED_IDS`` the oldest is dropped.
     """
 
     def __init__(self) -> None:
@@ -36,26 +37,27 @@
         return len(self._ids)
 
     def add(self, engine: str) -> None:
-        """Remember an id as the newest."""
+        """Add an id as the newest."""
         self._ids.pop(engine, None)
         self._ids[engine] = None
         if len(self._ids) > MAX_REMOVED_IDS:
             del self._ids[next(iter(self._ids))]
 
     def discard(self, engine: str) -> None:
-        """Forget an id: it is listed again."""
+        """Remove an id that is listed again, if it is there."""
         self._ids.pop(engine, None)
 
 
 class ManualDrains(dict[str, float]):
-    """Drains begun by staff: by engine the Unix time in ms since when.
+    """Drains started by operators: by engine, the Unix time in ms at which each began.
 
-    Unix time because drains are handed over to another process, which has another timeline. A plain
-    dictionary where it is read: each entry of a list is looked up in it.
+    The times are Unix times because drains are handed over to another process, which has another
+    timeline. Lookups are those of a plain dictionary, since each entry of an endpoint list is
+    looked up here.
     """
 
     def __init__(self, listed: Container[str]) -> None:
-        """Hold no drains yet.
+        """Create an empty collection.
 
         Args:
             listed: The listed engines, whose drains are never dropped.
@@ -64,13 +66,13 @@
         self._listed = listed
 
     def start(self, engine: str, since_unix_ms: float) -> None:
-        """Add a drain; over the maximum, drop the oldest of an engine that is not listed."""
+        """Add a drain; at the limit, first drop the oldest drain of an unlisted engine."""
         if len(self) >= MAX_MANUAL_DRAINS:
             self._drop_oldest()
         self[engine] = since_unix_ms
 
     def end(self, engine: str) -> float | None:
-        """Remove a drain; return since when it held, None where there is none."""
+        """Remove a drain; return the Unix time in ms at which it began, None if there is none."""
         return self.pop(engine, None)
 
     def _drop_oldest(self) -> None:
@@ -87,11 +89,11 @@
 
 
 class DrainEnd(NamedTuple):
-    """When an engine was called back from a manual drain.
+    """When the manual drain of an engine ended.
 
     Attributes:
-        unix_ms: In Unix time, as it is handed over to another process.
-        timeline_ms: On this broker's timeline.
+        unix_ms: The Unix time, which is handed over to another process.
+        timeline_ms: The same time on this broker's timeline.
     """
 
     unix_ms: float
--- a/umberusher/endpoints/publisher.py
+++ b/umberusher/endpoints/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes changes of the subset to the decisions, as engines count for this broker."""
+"""Publishes changes of the subset to the decisions, with the effective states of the engines."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
     Attributes:
         post: Receives each :class:`EndpointListUpdate`.
-        recalls: By engine, when it was called back from a manual drain. It may have restarted
-            unseen
-            meanwhile, so it counts as started then unless a later start is announced.
+        drain_ends: By engine, when its manual drain ended. The engine may have restarted unnoticed
+            during the drain, so the end of the drain counts as its start time unless a later start
+            is announced.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
             self.post(EndpointListUpdate(entries))
 
     def publish_list(self, change: SubsetChange) -> None:
-        """Publish a change after a complete list: engines that it doesn't name are removed."""
+        """Publish a complete list: the decisions remove the engines that it doesn't name."""
         self.post(EndpointListUpdate(self._entries((), change.updated), complete=True))
 
     def _entries(
@@ -47,7 +47,7 @@
         return tuple(entries)
 
     def _entry(self, engine: str, slot: int) -> EndpointUpdate:
-        """Return an engine as it counts for this broker; its start is on the broker's timeline."""
+        """Return an engine in its effective state; its start time is on the broker's timeline."""
         directory = self._directory
         profile = directory.profiles[slot]
         return EndpointUpdate(
--- a/umberusher/endpoints/registry.py
+++ b/umberusher/endpoints/registry.py
@@ -1,4 +1,4 @@
-"""The endpoint registry: which engines are listed, and whether anything new may be sent to one."""
+"""The endpoint registry: which engines are listed, and which of them may get new requests."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 ManualDrainCallback = Callable[[str, float | None], None]
 
 
-class _Effects:
-    """What a watch event has changed.
+class _AppliedChanges:
+    """The changes that a watch event has made.
 
     Attributes:
-        touched: Engines named, in order.
-        closed: Engines that take nothing new, as they were listed.
-        removed: Engines that were in the subset and are not listed any more.
+        touched: Engines that the event names, in order.
+        closed: Engines that accept no new requests, as they were listed.
+        removed: Engines that were in the subset and are no longer listed.
     """
 
     __slots__ = ("closed", "removed", "touched")
@@ -44,15 +44,15 @@
 
 
 class EndpointRegistry:
-    """The endpoint list as the discovery service announced it, with manual drains laid over it.
+    """The endpoint list as the discovery service announced it, overridden by manual drains.
 
     The directory holds all listed engines; the decisions are notified of those in the subset.
 
     Attributes:
         directory: All listed engines.
-        subset: Those that this broker uses.
-        manual_drains: Engines drained by staff.
-        removed_ids: Ids that were listed and are not now.
+        subset: The engines that this broker uses.
+        manual_drains: Engines drained by operators.
+        removed_ids: Ids that are no longer listed.
         publisher: Notifies the decisions.
         revision: Number of the newest watch event applied.
     """
@@ -72,7 +72,8 @@
             unix_ms: Returns the Unix time in ms.
             to_timeline_ms: Converts Unix time to the broker's timeline.
             settings: The fleet's size and the query classes; without them all engines are used.
-            name: The broker's name, which gives its place in the fleet where settings don't.
+            name: The broker's name, from which its position in the fleet is derived if the settings
+                give none.
         """
         broker_count = (settings.broker_count or 1) if settings else 1
         position = settings.broker_index if settings else 0
@@ -101,13 +102,15 @@
         on_watch_event: WatchEventCallback | None = None,
         on_manual_drain: ManualDrainCallback | None = None,
     ) -> None:
-        """Set who is called for changes; each kind has one subscriber, and those not given stay.
+        """Set the callbacks for changes; each kind has one, and those not given stay as they are.
 
         Args:
-            on_closed: An engine takes nothing new from now on.
-            on_moved: An engine has moved or may have restarted: its connections are outdated.
-            on_watch_event: A watch event was applied, on top of the revision given.
-            on_manual_drain: A manual drain began at a Unix time in ms, or has ended (None).
+            on_closed: Called when an engine accepts no new requests from now on.
+            on_moved: Called when an engine has moved or may have restarted, so that its connections
+                are outdated.
+            on_watch_event: Called with each applied watch event and the revision before it.
+            on_manual_drain: Called when a manual drain began, with its Unix time in ms, or has
+                ended, with None.
         """
         self._on_closed = on_closed or self._on_closed
         self._on_moved = on_moved or self._on_moved
@@ -117,18 +120,21 @@
     # -- Queries
 
     def find(self, engine: str) -> Endpoint | None:
-        """Return the engine if something new may be sent to it."""
+        """Return the engine if new requests may be sent to it."""
         return self.directory[engine] if self.is_available(engine) else None
 
     def is_available(self, engine: str) -> bool:
-        """Whether something new may be sent to an engine."""
+        """Whether new requests may be sent to an engine."""
         slot = self.directory.slots.get(engine)
         return slot is not None and self.directory.states[slot] == STATE_UP
 
     # -- Watch events
 
     def apply(self, event: WatchEvent) -> None:
-        """Apply a watch event that is newer than the list; nothing new goes to what it closes."""
+        """Apply a watch event that is newer than the list.
+
+        Engines that it removes or drains get no new requests afterwards.
+        """
         if event.revision <= self.revision:
             return
         previous_revision = self.revision
@@ -137,29 +143,31 @@
             log.warning(
                 "watch_event_entries_skipped revision=%d skipped=%d", event.revision, event.skipped
             )
-        effects = _Effects()
+        changes = _AppliedChanges()
         if event.complete:
-            self._remove_unnamed(event, effects)
+            self._remove_unnamed(event, changes)
         for entry in event.entries:
-            effects.touched[entry.engine] = None
-            self._apply_entry(entry, event.addresses[entry.engine], effects)
-        # The decisions are notified before the sends are withdrawn: else they would try there
-        # again.
-        self._publish(effects, event.complete)
-        for endpoint in effects.closed:
+            changes.touched[entry.engine] = None
+            self._apply_entry(entry, event.addresses[entry.engine], changes)
+        # The decisions are notified before requests are withdrawn from closed engines: otherwise
+        # they would retry on the same engines.
+        self._publish(changes, event.complete)
+        for endpoint in changes.closed:
             self._on_closed(endpoint)
         self._on_watch_event(event, previous_revision)
 
-    def _remove_unnamed(self, event: WatchEvent, effects: _Effects) -> None:
-        """Remove what a complete list doesn't name."""
+    def _remove_unnamed(self, event: WatchEvent, changes: _AppliedChanges) -> None:
+        """Remove the engines that a complete list doesn't name."""
         named = {entry.engine for entry in event.entries}
         for engine in [each for each in self.directory if each not in named]:
-            self._remove(engine, effects)
+            self._remove(engine, changes)
 
-    def _apply_entry(self, entry: EndpointUpdate, address: Address, effects: _Effects) -> None:
+    def _apply_entry(
+        self, entry: EndpointUpdate, address: Address, changes: _AppliedChanges
+    ) -> None:
         if entry.state is EndpointState.REMOVED:
             self.remember_removed(entry.engine)
-            self._remove(entry.engine, effects)
+            self._remove(entry.engine, changes)
             return
         self.removed_ids.discard(entry.engine)
         started_ms = self._to_timeline_ms(entry.started_ms) if entry.started_ms else 0.0
@@ -169,34 +177,34 @@
         if address_changed:
             self._on_moved(self.directory[entry.engine])
         if self.directory.states[slot] != STATE_UP:
-            effects.closed.append(self.directory[entry.engine])
+            changes.closed.append(self.directory[entry.engine])
 
-    def _remove(self, engine: str, effects: _Effects) -> None:
+    def _remove(self, engine: str, changes: _AppliedChanges) -> None:
         if engine not in self.directory:
             return
         endpoint = self.directory[engine]
         endpoint.state = EndpointState.REMOVED
-        effects.closed.append(endpoint)
+        changes.closed.append(endpoint)
         slot = self.directory.remove(engine)
         if slot is not None and self.subset.remove(engine, slot):
-            effects.removed.append(engine)
+            changes.removed.append(engine)
         self.publisher.drain_ends.pop(engine, None)
         self.remember_removed(engine)
 
     def _update_state(self, slot: int) -> None:
-        """Let an engine count as announced, with its manual drain laid over that."""
+        """Set an engine's effective state: as announced, or draining during a manual drain."""
         directory = self.directory
         state = directory.announced_states[slot]
         if state == STATE_UP and directory.ids[slot] in self.manual_drains:
             state = STATE_DRAINING
         directory.set_state(slot, state)
 
-    def _publish(self, effects: _Effects, complete: bool) -> None:
-        change = self.subset.update(effects.touched, self._now_ms())
+    def _publish(self, changes: _AppliedChanges, complete: bool) -> None:
+        change = self.subset.update(changes.touched, self._now_ms())
         if complete:
             self.publisher.publish_list(change)
         else:
-            change.removed = [*dict.fromkeys(effects.removed), *change.removed]
+            change.removed = [*dict.fromkeys(changes.removed), *change.removed]
             self.publisher.publish_change(change)
 
     def _publish_engine(self, engine: str) -> None:
@@ -211,12 +219,12 @@
     def include_companions(
         self, engine: str, scope: DeduplicationScope, duration_ms: float
     ) -> None:
-        """Add engines of the same zone or cell to the subset for a time, where too few are in it.
+        """Add engines of the same zone or cell to the subset for a time, if too few are in it.
 
         Args:
-            engine: Where a request may have run.
-            scope: Where its retries have to stay.
-            duration_ms: How long.
+            engine: The engine on which a request may have run.
+            scope: Whether the request's retries are bound to the engine's zone or its cell.
+            duration_ms: How long the added engines stay in the subset.
         """
         if not self.subset.covers_all:
             until_ms = self._now_ms() + duration_ms
@@ -225,16 +233,16 @@
     # -- Manual drains
 
     def remember_removed(self, engine: str) -> None:
-        """Remember an id that is not listed, so that it can be drained by hand."""
+        """Store an id that is not listed, so that an operator can drain it."""
         if engine not in self.directory:
             self.removed_ids.add(engine)
 
     def start_manual_drain(self, engine: str, since_unix_ms: float | None = None) -> bool:
-        """Drain an engine until it is called back, whatever the discovery service announces.
+        """Drain an engine until the drain is ended, whatever the discovery service announces.
 
         Args:
-            engine: The engine, which need not be listed any more.
-            since_unix_ms: When another process began the drain; None: now.
+            engine: The engine, which may have been removed from the list.
+            since_unix_ms: When another process began the drain; None means now.
 
         Returns:
             Whether the engine is or was listed.
@@ -254,7 +262,7 @@
         return True
 
     def end_manual_drain(self, engine: str) -> bool:
-        """Call an engine back: it counts as announced from now on.
+        """End a manual drain: the engine's announced state applies again.
 
         Returns:
             Whether the engine is or was listed.
@@ -272,13 +280,13 @@
         return True
 
     def drain_end_times(self) -> dict[str, float]:
-        """Return when engines were called back, as Unix time in ms."""
+        """Return when manual drains ended, by engine, as Unix time in ms."""
         return {
             engine: drain_end.unix_ms for engine, drain_end in self.publisher.drain_ends.items()
         }
 
     def restore_drain_end(self, engine: str, unix_ms: float) -> None:
-        """Take over from another process when an engine was called back."""
+        """Restore the end of a manual drain that another process has handed over."""
         known = self.publisher.drain_ends.get(engine)
         is_newer = unix_ms > (known.unix_ms if known else 0.0)
         if is_newer and engine in self.directory:
@@ -289,10 +297,10 @@
         self.publisher.drain_ends[engine] = DrainEnd(unix_ms, self._to_timeline_ms(unix_ms))
 
     def _started_since(self, slot: int, since_unix_ms: float) -> float:
-        """Return the announced start if it is later than a time, else now.
+        """Return the announced start time if it is later than a given time, else the current time.
 
-        Guards engines that are warming up: one may have restarted unseen, and its start not be
-        announced.
+        Protects engines that are warming up: an engine may have restarted unnoticed, without an
+        announcement of its start.
         """
         started_unix_ms = self.directory.started_unix_ms[slot]
         return started_unix_ms if started_unix_ms > since_unix_ms else self._unix_ms()
@@ -302,12 +310,12 @@
 
 
 def _ignore_endpoint(endpoint: Endpoint) -> None:
-    """Do nothing: nobody has subscribed."""
+    """Do nothing: there is no subscriber."""
 
 
 def _ignore_watch_event(event: WatchEvent, previous_revision: int) -> None:
-    """Do nothing: nobody has subscribed."""
+    """Do nothing: there is no subscriber."""
 
 
 def _ignore_manual_drain(engine: str, since_unix_ms: float | None) -> None:
-    """Do nothing: nobody has subscribed."""
+    """Do nothing: there is no subscriber."""
--- a/umberusher/endpoints/subset.py
+++ b/umberusher/endpoints/subset.py
@@ -1,8 +1,8 @@
-"""The subset: which listed engines this broker uses, kept as the endpoint list changes.
+"""The subset of the listed engines that this broker uses, kept current as the list changes.
 
-What a change costs goes with the entries it touches: one outside the subset is one hash. The
-directory is only looked through where the number of engines that are up has changed by so much that
-the width changes.
+The cost of a change is proportional to the number of entries it touches; an entry outside the
+subset costs one hash. The whole directory is scanned only if the number of engines that are up has
+changed by so much that the width changes.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from umberusher.endpoints.directory import STATE_UP, EndpointDirectory, ZoneAndKind
 from umberusher.endpoints.subset_ring import SLICES, SubsetRing
 
-# Engines used, at least, of those to which a query class is bound by zones or kinds.
+# Minimum number of engines used for a query class that is bound to zones or kinds.
 MIN_ENGINES_PER_CONSTRAINT = 8
-# Engines used, at least, of the cell or zone in which a retry has to stay.
+# Minimum number of engines used in the cell or zone to which a retry is bound.
 MIN_COMPANIONS = 4
-# Temporary members at a time; over this the oldest one is dropped.
+# Limit of temporary members; above it the oldest one is dropped.
 MAX_TEMPORARY_MEMBERS = 64
-# Fraction of the listed engines that count as up, at least: when a whole list drains the subset
-# must not grow to all of it.
+# Minimum fraction of the listed engines that counts as up in the computation of the width: when all
+# listed engines drain, the subset must not grow to the whole list.
 MIN_UP_FRACTION = 0.25
 
 
 class EndpointConstraint(NamedTuple):
-    """Zones and kinds to which a query class is bound; None or none at all: any."""
+    """Zones and kinds to which a query class is bound; None or an empty tuple means any."""
 
     zones: tuple[str, ...] | None
     kinds: tuple[str, ...] | None
@@ -46,18 +46,18 @@
 
 
 def endpoint_constraints(classes: Iterable[QueryClass]) -> list[EndpointConstraint]:
-    """Return the constraints of query classes that have any, each once."""
+    """Return the distinct constraints of the query classes that have one."""
     constraints = (EndpointConstraint(each.zones, each.kinds) for each in classes)
     return list(dict.fromkeys(each for each in constraints if each.zones or each.kinds))
 
 
 @dataclass(slots=True)
 class SubsetChange:
-    """A difference to publish.
+    """A change of the subset that is to be published.
 
     Attributes:
         updated: Engines that are in the subset now and are new or changed, in order.
-        removed: Engines that are in the subset no longer.
+        removed: Engines that are no longer in the subset.
     """
 
     updated: dict[str, None] = field(default_factory=dict)
@@ -65,11 +65,11 @@
 
 
 class GroupWidth(NamedTuple):
-    """What holds for the engines of one zone and kind.
+    """The width for the engines of one zone and kind.
 
     Attributes:
-        slices: The width.
-        broker_count: How many brokers use such an engine, at most.
+        slices: The width, in slices of the ring.
+        broker_count: Maximum number of brokers that use one such engine.
     """
 
     slices: int
@@ -80,9 +80,10 @@
     """One broker's subset of a directory.
 
     Attributes:
-        in_subset: By slot, whether the decisions know the engine.
-        temporary_members: Engines beyond the width that a retry needs, and until when, in ms.
-        full_scan_count: Times that the whole directory was looked through.
+        in_subset: By slot, whether the engine is in the subset, so that the decisions know it.
+        temporary_members: Engines beyond the width that a retry needs, each with the time in ms
+            until which it is needed.
+        full_scan_count: Number of scans of the whole directory.
     """
 
     def __init__(
@@ -94,7 +95,7 @@
         self._directory = directory
         self._ring = ring
         self._constraints = endpoint_constraints(classes)
-        # Widths for all engines, then for those of each constraint.
+        # The width for all engines, followed by the width for each constraint.
         self._widths = [SLICES] * (1 + len(self._constraints))
         self._brokers_by_width = {SLICES: ring.brokers_per_engine(SLICES)}
         self._width_by_group: dict[ZoneAndKind, GroupWidth] = {}
@@ -107,13 +108,13 @@
         return self._widths[0] >= SLICES
 
     def broker_count(self, slot: int) -> float:
-        """Return how many brokers use an engine like this one, at most."""
+        """Return the maximum number of brokers that use an engine of this zone and kind."""
         return self._group_width(slot).broker_count
 
     # -- Changes of the list
 
     def remove(self, engine: str, slot: int) -> bool:
-        """Follow an engine's removal from the directory; return whether it was in the subset."""
+        """Remove an engine that has left the directory; return whether it was in the subset."""
         self._companions.invalidate()
         self.temporary_members.pop(engine, None)
         was_in_subset = slot < len(self.in_subset) and bool(self.in_subset[slot])
@@ -122,11 +123,11 @@
         return was_in_subset
 
     def update(self, touched: Iterable[str], now_ms: float) -> SubsetChange:
-        """Follow a change of the directory.
+        """Update the subset after a change of the directory.
 
         Args:
-            touched: Engines that are new or changed; those that are not listed are passed over.
-            now_ms: The broker's time, by which temporary members end.
+            touched: Engines that are new or changed; those that are not listed are ignored.
+            now_ms: The broker's time, by which temporary memberships expire.
         """
         self._companions.invalidate()
         self._add_slots()
@@ -136,13 +137,13 @@
         for engine in listed:
             self._distances[slots[engine]] = self._ring.distance(engine)
         if self._update_widths():
-            # How many brokers use an engine has changed too, so the whole subset is published.
+            # The number of brokers per engine has changed too, so the whole subset is published.
             self.full_scan_count += 1
             for engine, slot in slots.items():
-                self._place(engine, slot, change)
+                self._update_membership(engine, slot, change)
         else:
             for engine in listed:
-                self._place(engine, slots[engine], change)
+                self._update_membership(engine, slots[engine], change)
             self._end_temporary_members(now_ms, change)
         return change
 
@@ -152,8 +153,8 @@
             self.in_subset.extend(bytes(missing))
             self._distances.extend([0] * missing)
 
-    def _place(self, engine: str, slot: int, change: SubsetChange) -> None:
-        """Put an engine into the subset or out of it."""
+    def _update_membership(self, engine: str, slot: int, change: SubsetChange) -> None:
+        """Add an engine to the subset or remove it, by its distance and temporary membership."""
         within_width = self._distances[slot] < self._group_width(slot).slices
         if within_width or engine in self.temporary_members:
             self.in_subset[slot] = 1
@@ -169,14 +170,14 @@
         group = (profile.zone, profile.kind)
         found = self._width_by_group.get(group)
         if found is None:
-            found = self._widest(group)
+            found = self._max_group_width(group)
             if len(self._width_by_group) > SLICES:
-                # Guards memory: zones and kinds are free texts, so there may be any number of them.
+                # Bounds memory: zones and kinds are free texts, so there may be any number of them.
                 self._width_by_group.clear()
             self._width_by_group[group] = found
         return found
 
-    def _widest(self, group: ZoneAndKind) -> GroupWidth:
+    def _max_group_width(self, group: ZoneAndKind) -> GroupWidth:
         constraints = [ANY_ENDPOINT, *self._constraints]
         slices = max(
             width
@@ -186,7 +187,7 @@
         return GroupWidth(slices, self._brokers_by_width[slices])
 
     def _update_widths(self) -> bool:
-        """Fit the widths to the engines that are up; return whether any has changed."""
+        """Recompute the widths from the number of engines up; return whether any has changed."""
         directory = self._directory
         min_up = math.ceil(MIN_UP_FRACTION * len(directory))
         widths = [self._ring.width(max(directory.up_count, min_up), self._widths[0])]
@@ -209,12 +210,12 @@
     def add_companions(
         self, engine: str, scope: DeduplicationScope, until_ms: float
     ) -> SubsetChange:
-        """Add engines of the same cell or zone, where too few are in the subset for a retry.
+        """Add engines of the same cell or zone, if too few are in the subset for a retry.
 
         Args:
-            engine: The engine beside which a retry has to stay.
-            scope: Whether in its cell or its zone.
-            until_ms: How long the engines are needed.
+            engine: The engine to whose cell or zone a retry is bound.
+            scope: Whether the retry is bound to the cell or to the zone.
+            until_ms: Time until which the engines are needed.
         """
         change = SubsetChange()
         slot = self._directory.slots.get(engine)
@@ -227,7 +228,7 @@
             if states[other] == STATE_UP and other != slot
         ]
         known = [other for other in companions if self.in_subset[other]]
-        self._prolong(known, until_ms)
+        self._extend_memberships(known, until_ms)
         missing_count = MIN_COMPANIONS - len(known)
         if missing_count > 0:
             others = [other for other in companions if not self.in_subset[other]]
@@ -236,8 +237,8 @@
                 self._add_temporary_member(other, until_ms, change)
         return change
 
-    def _prolong(self, slots: Iterable[int], until_ms: float) -> None:
-        """Keep temporary members at least so long."""
+    def _extend_memberships(self, slots: Iterable[int], until_ms: float) -> None:
+        """Extend the membership of temporary members to at least the given time."""
         for slot in slots:
             engine = self._directory.ids[slot]
             if engine in self.temporary_members:
@@ -249,7 +250,7 @@
         engine = self._directory.ids[slot]
         if engine is not None:
             self.temporary_members[engine] = until_ms
-            self._place(engine, slot, change)
+            self._update_membership(engine, slot, change)
 
     def _end_temporary_members(self, now_ms: float, change: SubsetChange) -> None:
         ended = [engine for engine, until in self.temporary_members.items() if until <= now_ms]
@@ -258,4 +259,4 @@
 
     def _end_temporary_member(self, engine: str, change: SubsetChange) -> None:
         del self.temporary_members[engine]
-        self._place(engine, self._directory.slots[engine], change)
+        self._update_membership(engine, self._directory.slots[engine], change)
