--- a/umberusher/discovery/backoff.py
+++ b/umberusher/discovery/backoff.py
@@ -1,22 +1,23 @@
-"""Waits before the discovery service is contacted again, growing while it is of no use.
+"""Backoff before the discovery service is contacted again.
 
-Owns three waits: after a connection that failed, after an answer that can't be used, and before a
-poll on a connection whose polls are answered without the wait that was asked for.
+There are three waits: after a failed connection, after an unusable answer, and before the next poll
+on a connection whose polls are answered earlier than requested.
 """
 
 from __future__ import annotations
 
 INITIAL_BACKOFF_MS = 50.0
-# After a failed connection: the list must be current soon after the service is back.
+# After a failed connection: the list must be current soon after the service has recovered.
 MAX_RECONNECT_BACKOFF_MS = 400.0
-# After a short answer of no use: once it is mended, its change must be in force within 14 s.
+# After a short unusable answer: once the service is repaired, a change must be applied within 14 s.
 MAX_UNUSABLE_BACKOFF_MS = 5_000.0
-# After a long one: 18 KB/s are there for control traffic, and only people can mend it.
+# After a long unusable answer: 18 KB/s are available for control traffic, and only an operator can
+# repair the service.
 MAX_COSTLY_BACKOFF_MS = 60_000.0
 
 
 class PollBackoff:
-    """The current waits, in ms; each doubles up to a maximum until the service is of use again."""
+    """The current waits, in ms; each doubles up to a maximum until the service works again."""
 
     __slots__ = ("pause_ms", "reconnect_ms", "unusable_ms")
 
@@ -24,21 +25,23 @@
         self.reset()
 
     def reset(self) -> None:
-        """Start over, as with another discovery service."""
-        self.reconnect_ms = 0.0  # the first reconnect comes at once
+        """Reset all waits, as for another discovery service."""
+        self.reconnect_ms = 0.0  # the first reconnect is immediate
         self.unusable_ms = INITIAL_BACKOFF_MS
-        self.pause_ms = 0.0  # guards drains: a service that answers at once may have news after all
+        # The first pause is 0 so that drains are noticed soon: a service that answers early may
+        # still have changes to send.
+        self.pause_ms = 0.0
 
     def answer_received(self) -> None:
-        """Forget failed connections: the service has answered."""
+        """Reset the wait after failed connections: the service has answered."""
         self.reconnect_ms = 0.0
 
     def answer_used(self) -> None:
-        """Forget unusable answers: this one could be used."""
+        """Reset the wait after unusable answers: this one was usable."""
         self.unusable_ms = INITIAL_BACKOFF_MS
 
     def waited_for_change(self) -> None:
-        """Forget early answers: the service waited for a change, or had one."""
+        """Reset the pause between polls: the service waited for a change, or had one."""
         self.pause_ms = 0.0
 
     def after_failed_connection(self) -> float:
@@ -48,7 +51,7 @@
         return wait_ms
 
     def after_unusable_answer(self, costly: bool) -> float:
-        """Return the wait before the same is asked for again, in ms.
+        """Return the wait before the same poll is sent again, in ms.
 
         Args:
             costly: Whether the answer was long.
@@ -58,14 +61,14 @@
         return wait_ms
 
     def after_early_answer(self) -> float:
-        """Return the wait before the next poll, in ms, after an answer without news or wait."""
+        """Return the wait before the next poll, in ms, after an early answer without events."""
         return self._next_pause(MAX_RECONNECT_BACKOFF_MS)
 
     def after_regressed_answer(self, costly: bool) -> float:
         """Return the wait before the next poll, in ms, after an answer of an older revision.
 
         Args:
-            costly: Whether the answer was long. Such a service sends its whole list for every poll.
+            costly: Whether the answer was long: such a service sends its whole list for each poll.
         """
         max_ms = max_unusable_backoff_ms(costly)
         if costly:
@@ -80,5 +83,5 @@
 
 
 def max_unusable_backoff_ms(costly: bool) -> float:
-    """Return the longest wait after an answer of no use, in ms."""
+    """Return the longest wait after an unusable answer, in ms."""
     return MAX_COSTLY_BACKOFF_MS if costly else MAX_UNUSABLE_BACKOFF_MS
--- a/umberusher/discovery/client.py
+++ b/umberusher/discovery/client.py
@@ -1,9 +1,9 @@
-"""Discovery client: keeps one long poll outstanding and passes watch events on.
+"""Discovery client: keeps one long poll outstanding and delivers watch events.
 
-One connection at a time, which moves through the states of :class:`DiscoveryState`. A connection
-that fails is opened again soon; an answer that can't be used is asked for again after a growing
-wait, and the known endpoint list stays in use. Each cause is logged once until an answer can be
-used again.
+The client has one connection at a time and moves through the states of :class:`DiscoveryState`. It
+reconnects soon after a failed connection. After an unusable answer it polls again with a growing
+backoff, and the known endpoint list stays in use. Each cause of failure is logged once until an
+answer is usable again.
 """
 
 from __future__ import annotations
@@ -29,47 +29,47 @@
 
 log = logging.getLogger(__name__)
 
-# How long the discovery service may hold a poll until a change comes. A change counts as announced
-# after 7 s, so a connection that has gone silent must show long before.
+# How long the discovery service may hold a poll while it waits for a change. A change counts as
+# announced after 7 s, so an unresponsive connection must be detected long before that.
 POLL_LINGER_MS = 2_000
-# The same of the first poll on a connection: what is known may be old, and a start waits for its
-# answer.
+# The same for the first poll on a connection: the known list may be outdated, and the start of the
+# broker waits for the answer.
 FIRST_POLL_LINGER_MS = 20
-# Beyond the linger time, after which an answer is not expected any more; also how long a connect
-# may take.
+# Time after the end of the linger time by which the answer must arrive; also the timeout of a
+# connection attempt.
 ANSWER_TIMEOUT_MS = 700.0
-# Rate at which a long answer must arrive to be waited for: the longest list of 32,000 entries
-# within 7 s.
+# Minimum rate at which a long answer must arrive: the longest list of 32,000 entries must be
+# received within 7 s.
 MIN_ANSWER_BYTES_PER_S = 1e6
-# An answer without events within this fraction of its linger time came without the wait that was
-# asked for.
+# An answer without events counts as early if it arrives within this fraction of its linger time:
+# the service has not waited as requested.
 EARLY_ANSWER_FRACTION = 0.5
-# Smallest fraction of a wait that is kept: brokers that failed together must not come back
-# together.
+# Minimum fraction of a wait after jitter: brokers that lost their connections at the same time must
+# not reconnect at the same time.
 MIN_JITTER_FRACTION = 0.5
 READ_BUFFER_BYTES = 1 << 16
 
-# Causes that are logged once, beside those of protocol errors and of closed connections.
+# Causes that are logged once, in addition to those of protocol errors and of closed connections.
 REVISION_REGRESSED = "revision regressed"
 SILENT = "silent"
 
 
 class DiscoveryState(Enum):
-    """What the client is doing."""
+    """State of the client."""
 
     IDLE = "idle"  # not started
     CONNECTING = "connecting"
     POLLING = "polling"  # a poll is outstanding
-    BACKING_OFF = "backing off"  # the next poll or connection waits for its time
+    BACKING_OFF = "backing off"  # a timer delays the next poll or connection
     CLOSED = "closed"
 
 
 class PollAnswer(NamedTuple):
-    """An answer that could be read.
+    """A usable answer.
 
     Attributes:
-        events: The newer watch events, in order.
-        revision: The revision that the service stands at, if it names one.
+        events: The watch events newer than the known revision, in order.
+        revision: The current revision of the service, if the answer names one.
     """
 
     events: list[WatchEvent]
@@ -77,15 +77,15 @@
 
 
 class DiscoveryClient:
-    """The broker's side of the discovery service.
+    """The broker's client of the discovery service.
 
     Attributes:
         address: Host and port that are polled.
-        state: What the client is doing.
-        has_answered: Whether the service has answered once, so that the list is as new as can be
-            had.
+        state: The state of the client.
+        has_answered: Whether the service has answered at least once, so that the list is as recent
+            as possible.
         connection: The connection to the service, if there is one.
-        poll_client: The HTTP side of that connection.
+        poll_client: The HTTP codec of that connection.
         backoff: The waits before the service is contacted again.
     """
 
@@ -104,7 +104,7 @@
             loop: The event loop.
             address: Host and port of the discovery service.
             known_revision: Returns the newest revision that has been applied.
-            on_watch_event: Receives each newer watch event.
+            on_watch_event: Called with each watch event that is newer than the known revision.
             max_answer_bytes: Longest answer that is read.
             random: Source of the jitter of waits.
         """
@@ -121,10 +121,10 @@
         self.poll_client = PollClient("", max_answer_bytes)
         self._polled_at_s = 0.0
         self._linger_ms = FIRST_POLL_LINGER_MS
-        self._timer: Timer | None = None  # the one thing waited for: an answer, or the next attempt
+        self._timer: Timer | None = None  # the timeout of an answer, or the next attempt
         self._logged_causes: set[str] = set()
 
-    # -- For the owner
+    # -- Lifecycle
 
     def start(self) -> None:
         """Connect, and poll once connected."""
@@ -148,7 +148,7 @@
         self.loop.spawn(opened.serve())
 
     def move(self, address: tuple[str, int]) -> None:
-        """Poll at another address from now on, after the newest known revision."""
+        """Poll another address from now on, starting after the newest known revision."""
         if address == self.address or self.state is DiscoveryState.CLOSED:
             return
         self.address = address
@@ -159,7 +159,7 @@
         self.start()
 
     def close(self) -> None:
-        """Disconnect for good."""
+        """Disconnect and stop polling permanently."""
         self.state = DiscoveryState.CLOSED
         self._disconnect()
 
@@ -170,16 +170,16 @@
             self._timer.cancel()
 
     def _back_off(self, max_wait_ms: float, action: Callable[[], None]) -> None:
-        """Call after a random part of a wait."""
+        """Call an action after a wait with random jitter."""
         self._cancel_timer()
-        if self.state is DiscoveryState.CLOSED:  # by whoever received the last watch event
+        if self.state is DiscoveryState.CLOSED:  # the callback of a watch event may close it
             return
         self.state = DiscoveryState.BACKING_OFF
         wait_ms = max_wait_ms * self.random.uniform(MIN_JITTER_FRACTION, 1.0)
         self._timer = self.loop.call_later(wait_ms, action)
 
     def _disconnect(self) -> None:
-        """Drop the connection and what was waited for."""
+        """Close the connection and cancel the timer."""
         self._cancel_timer()
         dropped = self.connection
         self.connection = None
@@ -198,7 +198,7 @@
     # -- Polling
 
     def _poll(self) -> None:
-        """Send a poll for what is newer than the known revision."""
+        """Send a poll for events newer than the known revision."""
         conn = self.connection
         if conn is None or conn.state is not State.OPEN:
             return
@@ -212,8 +212,8 @@
     def _await_answer(self) -> None:
         """Set the time by which more of the answer must have arrived.
 
-        Guards against a service that is cut off, whose connection stays open and silent, and
-        against one that sends a few bytes at a time.
+        This detects a service that is cut off, so that the connection stays open but receives
+        nothing, and a service that sends only a few bytes at a time.
         """
         received_bytes = self.poll_client.answer_bytes
         allowed_s = (self._linger_ms + ANSWER_TIMEOUT_MS) / 1000
@@ -223,7 +223,7 @@
         )
 
     def _on_answer_due(self, received_bytes: int) -> None:
-        """Give up an answer of which no more has arrived since the time was set."""
+        """Close the connection if no more of the answer has arrived since the timer was set."""
         if self.poll_client.answer_bytes > received_bytes:
             self._await_answer()
         elif self.connection is not None:
@@ -247,12 +247,13 @@
     def _read_answer(self, conn: Connection) -> PollAnswer | None:
         """Read what has arrived; return None while the answer is incomplete.
 
-        The parsed document is released on return, before its events are applied: that bounds
+        The parsed document is released on return, before its events are applied, to bound the
         memory.
         """
         document = self.poll_client.feed(conn.inbound.take(len(conn.inbound)))
         if document is None:
-            if conn.inbound.limit > conn.inbound.allocated_bytes:  # more than one read's worth
+            if conn.inbound.limit > conn.inbound.allocated_bytes:
+                # The answer is longer than one read, so later reads use a full-size buffer.
                 conn.inbound = RingBuffer.preallocated(READ_BUFFER_BYTES)
             return None
         events = codec.watch_events(document, self.known_revision())
@@ -261,7 +262,7 @@
     # -- Answers
 
     def _on_unusable_answer(self, error: DiscoveryProtocolError) -> None:
-        """Ask again after a wait: the same answer would come at once."""
+        """Poll again after a wait: without it the same answer would arrive immediately."""
         costly = error.costly or self.poll_client.answer_is_long
         self._disconnect()
         self._warn_once(
@@ -288,20 +289,20 @@
                 self.known_revision(),
             )
         else:
-            self._on_answer_used()
+            self._on_usable_answer()
         for event in answer.events:
             self._publish(event)
         self._poll_again(early, regressed)
 
     def _answered_early(self) -> bool:
-        passed_s = self.loop.clock() - self._polled_at_s
-        return passed_s < self._linger_ms * EARLY_ANSWER_FRACTION / 1000
+        elapsed_s = self.loop.clock() - self._polled_at_s
+        return elapsed_s < self._linger_ms * EARLY_ANSWER_FRACTION / 1000
 
     def _is_older(self, revision: int | None) -> bool:
         return revision is not None and revision < self.known_revision()
 
-    def _on_answer_used(self) -> None:
-        """Log each cause anew from now on."""
+    def _on_usable_answer(self) -> None:
+        """Reset the backoff after unusable answers and the causes that have been logged."""
         self.backoff.answer_used()
         if self._logged_causes:
             self._logged_causes.clear()
@@ -319,19 +320,20 @@
         self.on_watch_event(event)
 
     def _poll_again(self, early: bool, regressed: bool) -> None:
-        """Send the next poll, after a pause where the service is of no use.
+        """Send the next poll, after a pause if the last answer was early or a long old list.
 
-        Guards the processor against a service that doesn't wait, or sends an old list each time.
+        The pause limits the processor time that is spent on a service that doesn't wait for
+        changes, or that sends an old list each time.
         """
         costly = regressed and self.poll_client.answer_is_long
         if not early:
             self.backoff.waited_for_change()
-        pauses = early or costly
-        pause_ms = self._pause_ms(regressed, costly) if pauses else 0.0
+        needs_pause = early or costly
+        pause_ms = self._pause_ms(regressed, costly) if needs_pause else 0.0
         if not self.poll_client.reusable:
             self._disconnect()
             self._back_off(pause_ms, self.start)
-        elif pauses:
+        elif needs_pause:
             self._back_off(pause_ms, self._poll)
         else:
             self._poll()
@@ -342,11 +344,11 @@
         return self.backoff.after_early_answer()
 
     def _warn_once(self, cause: str, message: str, *fields: object) -> None:
-        """Log a warning for a cause that was not logged since the last usable answer."""
+        """Log a warning for a cause that has not been logged since the last usable answer."""
         if cause not in self._logged_causes:
             self._logged_causes.add(cause)
             log.warning(message, *fields)
 
 
 def _ignore_reason(reason: str) -> None:
-    """Do nothing about the end of a connection that was dropped."""
+    """Ignore the end of a connection that the client itself has closed."""
--- a/umberusher/endpoints/directory.py
+++ b/umberusher/endpoints/directory.py
@@ -44,9 +44,8 @@
     weight: float | None
 
 
-NO_PROFILE = Profile(
-    None, None, None, None
-)  # of an engine whose properties are unknown, and of a free slot
+# Profile of an engine whose properties are unknown, and of a free slot.
+NO_PROFILE = Profile(None, None, None, None)
 
 
 @dataclass(slots=True)
--- a/umberusher/protocol/__init__.py
+++ b/umberusher/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs without I/O: bytes in, values out, and back."""
+"""Codecs without I/O, which convert between bytes and typed values."""
--- a/umberusher/protocol/discovery.py
+++ b/umberusher/protocol/discovery.py
@@ -1,7 +1,7 @@
 """Codec of the discovery service's JSON: reads watch events and writes endpoint lists.
 
-The words of the wire (``notices``, ``pool``, ``instances``, ``lifecycle`` ...) appear in this
-module only. The HTTP side of a poll is in :mod:`umberusher.protocol.discovery_poll`.
+The names of the wire format (``notices``, ``pool``, ``instances``, ``lifecycle`` ...) are used in
+this module only. The HTTP side of a poll is in :mod:`umberusher.protocol.discovery_poll`.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 from umberusher.decisions.events import EndpointState, EndpointUpdate
 
-# Fraction of the memory limit for the longest list while it is read: the rest is the program's and
-# the requests'.
+# Fraction of the memory limit that the longest list may use while it is read: the remainder is for
+# the program and the requests.
 LIST_MEMORY_FRACTION = 0.3
-# Peak memory for each byte of an answer: its bytes, its text and the entries made of it. Measured
-# 4.1 at 32,000 entries, 6.9 where a single character makes the text four bytes wide.
+# Peak memory for each byte of an answer: its bytes, its text and its entries. It is 4.1 at 32,000
+# entries, and 6.9 if a single character makes the text use four bytes per character.
 PEAK_BYTES_PER_ANSWER_BYTE = 7.0
 DEFAULT_MEMORY_MB = 192.0  # the configuration's own default
-# Endpoints encoded as one piece of text, some 50 KB.
+# Number of endpoints that are encoded as one piece of text of some 50 KB.
 ENDPOINTS_PER_PIECE = 256
 # Largest number that is accepted: a JSON integer may be longer than a float can hold.
 MAX_NUMBER = 1e300
@@ -32,25 +32,25 @@
     "DELETED": EndpointState.REMOVED,
 }
 WIRE_NAME_BY_STATE = {state: name for name, state in STATE_BY_WIRE_NAME.items()}
-# Made once: a handover message has thousands of entries.
+# Created once, since a handover message has thousands of entries.
 ENCODE_JSON = json.JSONEncoder(separators=(",", ":")).encode
-# What reading an entry of the wrong shape may raise.
+# Exceptions that reading a malformed entry may raise.
 MALFORMED_ENTRY = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 Address = tuple[str, int] | None
 """Host and port; None where the entry has no address and needs none."""
 
 Entry = tuple[EndpointUpdate, Address]
-"""An entry of the list and the engine's address, which the decisions don't need."""
+"""An entry of the list with the engine's address, which the decisions don't need."""
 
 
 class DiscoveryProtocolError(ValueError):
     """An answer of the discovery service can't be used.
 
     Attributes:
-        reason: What was wrong, for the log.
-        cause: The kind of fault; stays the same while the words of ``reason`` may change.
-        costly: Whether the answer was long, so that a further poll costs as much again.
+        reason: Description of the fault for the log.
+        cause: The kind of fault; it is the same for all faults of a kind, whatever the ``reason``.
+        costly: Whether the answer was long, so that another poll costs as much again.
     """
 
     def __init__(self, reason: str, cause: str, costly: bool = False) -> None:
@@ -62,10 +62,10 @@
 
 @dataclass(slots=True)
 class WatchEvent:
-    """One numbered change of the endpoint list, or (``complete``) the whole list.
+    """One numbered change of the endpoint list, or the whole list if it is ``complete``.
 
     Attributes:
-        revision: Number of the event; it grows.
+        revision: Number of the event; later events have higher numbers.
         complete: Whether engines that are not named have been removed.
         entries: One update for each engine named.
         addresses: Addresses by engine, for each engine named.
@@ -82,7 +82,7 @@
 
 
 def max_answer_bytes(memory_mb: float) -> int:
-    """Return how long an answer may be, in bytes, for a broker with that memory limit."""
+    """Return the maximum size of an answer, in bytes, for a broker with this memory limit."""
     return int(memory_mb * 1e6 * LIST_MEMORY_FRACTION / PEAK_BYTES_PER_ANSWER_BYTE)
 
 
@@ -96,7 +96,7 @@
     """Return host and port of ``host:port``.
 
     Raises:
-        ValueError: The text has another form, or the port is out of range.
+        ValueError: The text is not ``host:port``, or the port is out of range.
     """
     host, separator, port = text.rpartition(":")
     if not separator or not host or not 0 < int(port) < 65536:
@@ -120,7 +120,7 @@
     """Return the watch events of an answer that are newer than a revision, in order.
 
     Raises:
-        DiscoveryProtocolError: The document has another form, or nothing of its last complete list
+        DiscoveryProtocolError: The document is malformed, or no entry of its last complete list
             can be read.
     """
     try:
@@ -137,7 +137,7 @@
 
 
 def document_revision(document: Any) -> int | None:
-    """Return the revision that an answer as a whole stands at; None where it names none."""
+    """Return the service's revision that an answer names; None if it names none."""
     revision = document.get("rev") if isinstance(document, dict) else None
     if isinstance(revision, int) and not isinstance(revision, bool):
         return revision
@@ -145,7 +145,7 @@
 
 
 def _check_last_complete_list(events: list[WatchEvent]) -> None:
-    """Reject a complete list of which nothing can be read: it would remove every engine."""
+    """Reject a complete list without a readable entry: it would remove every engine."""
     for event in reversed(events):
         if event.complete:
             if event.skipped and not event.entries:
@@ -193,8 +193,8 @@
 def _read_entry(item: dict[str, Any]) -> Entry:
     """Read one entry.
 
-    Its words are interned: brokers of one process share them, and so do zones and kinds. A field of
-    no sense beside the state costs only itself, so that a drain is noticed all the same.
+    Its strings are interned, so that brokers of one process share them, and entries share zones and
+    kinds. A malformed field other than id and state is ignored, so that a drain is still noticed.
     """
     get = item.get
     name = item["instanceId"]
@@ -203,7 +203,7 @@
     state = STATE_BY_WIRE_NAME[item["lifecycle"]]
     kind = get("machineType")
     zone = get("zone")
-    cell: Any = get("cell")  # also a text, which is only compared
+    cell: Any = get("cell")  # a string is accepted too, since cells are only compared
     if cell.__class__ is not int:
         cell = intern(cell) if cell.__class__ is str else None
     started = get("startedAtMs")
@@ -225,7 +225,7 @@
 
 
 def _read_number(value: Any) -> float | None:
-    """Return a number of at least 0; None where it is absent or out of range."""
+    """Return a number of at least 0; None if it is absent or out of range."""
     if value.__class__ is int or value.__class__ is float:
         return float(value) if 0 <= value <= MAX_NUMBER else None
     return None
@@ -258,7 +258,7 @@
 
 
 def _entry_fields(entry: EndpointUpdate, address: Address) -> dict[str, Any]:
-    """Return an entry's fields as the wire names them, without those that are unknown."""
+    """Return an entry's known fields by their names on the wire."""
     fields = {
         "instanceId": entry.engine,
         "lifecycle": WIRE_NAME_BY_STATE[entry.state],
--- a/umberusher/protocol/discovery_poll.py
+++ b/umberusher/protocol/discovery_poll.py
@@ -1,6 +1,6 @@
 """Client side of long polls over one HTTP/1.1 connection, without I/O.
 
-Bounds how long an answer may be, since it is held whole before it is parsed.
+The size of an answer is bounded, since it is buffered completely before it is parsed.
 """
 
 from __future__ import annotations
@@ -10,8 +10,7 @@
 from umberusher.protocol import discovery
 from umberusher.protocol.discovery import DEFAULT_MAX_ANSWER_BYTES, DiscoveryProtocolError
 
-# Bytes over which an answer counts as long: if it can't be used, it is not to be fetched again
-# soon.
+# Size above which an answer counts as long: a long unusable answer must not be fetched again soon.
 LONG_ANSWER_BYTES = 1 << 16
 STATUS_OK = 200
 
@@ -27,11 +26,11 @@
     """Writes polls and reads their answers, one at a time.
 
     Args:
-        host: Value of the requests' Host field.
-        max_answer_bytes: Longest body that is read.
+        host: Value of the requests' Host header.
+        max_answer_bytes: Maximum size of a body.
 
     Attributes:
-        answer_bytes: Length of the last answer's body, as far as it was read.
+        answer_bytes: Number of bytes read so far of the last answer's body.
     """
 
     def __init__(self, host: str, max_answer_bytes: int = DEFAULT_MAX_ANSWER_BYTES) -> None:
@@ -43,7 +42,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether a further poll may be sent over this connection."""
+        """Whether another poll can be sent over this connection."""
         return self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
 
     @property
@@ -52,10 +51,10 @@
         return self.answer_bytes > LONG_ANSWER_BYTES
 
     def poll(self, after_revision: int, linger_ms: int) -> bytes:
-        """Return the bytes of a poll for what came after a revision.
+        """Return the bytes of a poll for the events after a revision.
 
         Args:
-            after_revision: The newest revision that is known.
+            after_revision: The newest known revision.
             linger_ms: How long the discovery service may wait for a change before it answers.
         """
         if self._http.our_state is h11.DONE:
@@ -72,15 +71,16 @@
         return (head or b"") + (end or b"")
 
     def feed(self, data: bytes) -> object:
-        """Process received bytes; an empty string is the end of the connection.
+        """Process received bytes; an empty string means the end of the connection.
 
         Returns:
-            The answer's JSON document with its entries read; None while the answer is incomplete.
+            The answer's JSON document with its entries converted; None while the answer is
+            incomplete.
 
         Raises:
-            DiscoveryProtocolError: The answer is not HTTP or JSON, too long, or of another status
-                than 200.
-            DiscoveryConnectionError: The connection ended first.
+            DiscoveryProtocolError: The answer is not HTTP or JSON, is too long, or has a status
+                other than 200.
+            DiscoveryConnectionError: The connection ended before the answer was complete.
         """
         try:
             return self._read_body() if self._receive(data) else None
@@ -88,7 +88,7 @@
             raise
         except h11.ProtocolError as error:
             raise DiscoveryProtocolError(str(error), "no HTTP", self.answer_is_long) from error
-        except ValueError as error:  # also of a length that h11 can't read as a number
+        except ValueError as error:  # h11 also raises it for a Content-Length that is no number
             raise DiscoveryProtocolError(
                 f"not JSON: {error}", "not JSON", self.answer_is_long
             ) from error
@@ -114,13 +114,13 @@
         if response.status_code != STATUS_OK:
             status = f"status {response.status_code}"
             raise DiscoveryProtocolError(status, status)
-        for name, value in response.headers:  # h11 has checked that it is a number
+        for name, value in response.headers:  # h11 has checked that the length is a number
             if name == b"content-length" and int(value) > self.max_answer_bytes:
                 raise self._too_long(f"{int(value):,}")
 
     def _read_body(self) -> object:
         text = self._body.decode()
-        self._body = bytearray()  # guards memory: the bytes go before the text is parsed
+        self._body = bytearray()  # bounds memory: the bytes are released before the text is parsed
         return discovery.read_document(text)
 
     def _too_long(self, size: str) -> DiscoveryProtocolError:
--- a/umberusher/protocol/engine.py
+++ b/umberusher/protocol/engine.py
@@ -1,8 +1,8 @@
 """Codec of the engines' line protocol.
 
 A line consists of words and ends with CR LF. A request or a result page follows its line as a
-body: the line's last word is the body's length in bytes, and CR LF closes the body. The words of
-the wire stay in this module; callers see reply kinds and typed values.
+body: the line's last word is the body's length in bytes, and CR LF ends the body. The words of the
+wire format are used in this module only; callers use reply kinds and typed values.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from umberusher.wire import LOAD_REPORT_FIELDS
 
 MAX_LINE_BYTES = 4_096
-# Of one result page; a reply that claims more is malformed.
+# Maximum size of one result page; a reply that declares more is malformed.
 MAX_BODY_BYTES = 6_000
-# Longest number that is read: what has more digits is out of every range here.
+# Maximum length of a number: one with more digits is outside every range in this protocol.
 MAX_DIGITS = 8
-# Longest part of a malformed field that is repeated in a log line.
+# Maximum length of the part of a malformed field that is quoted in a log line.
 MAX_QUOTED_CHARACTERS = 20
 
 _COLUMN = rb"[^\t\n\x00-\x08\x0b-\x1f\x7f]*"
@@ -29,7 +29,7 @@
 
 
 class ReplyKind(StrEnum):
-    """What an engine's line says; the value is its word on the wire."""
+    """Kind of an engine's line; the value is its word on the wire."""
 
     RESULT = "HIT"
     PAGE = "PART"
@@ -43,7 +43,7 @@
 
 _KINDS = {kind.value: kind for kind in ReplyKind}
 _KINDS_WITH_BODY = ("HIT", "PART")
-# Load report fields by the operators' words; settings may name them by the wire's words instead.
+# Load report fields by the names that operators use; settings may also use the names on the wire.
 _REPORT_FIELDS = LOAD_REPORT_FIELDS | {
     "inflight": "in_flight",
     "queue": "queued",
@@ -63,8 +63,8 @@
     """One line of an engine, with its body.
 
     Attributes:
-        id: The request that it answers, or the tag of a health check.
-        kind: What it says.
+        id: Id of the request that it answers, or tag of a health check.
+        kind: Kind of the line.
         fields: Its named values, as text.
         body: A page of rows; empty for a line without a body.
     """
@@ -79,14 +79,14 @@
 
 
 class QueryCost(NamedTuple):
-    """What a query needed, as far as its engine reports it."""
+    """The resources that a query used, as far as its engine reports them."""
 
     work_ms: float | None
     memory_mb: float | None
 
 
 class Progress:
-    """How far a running query has come."""
+    """The progress of a running query."""
 
     __slots__ = ("kind", "value")
 
@@ -99,7 +99,7 @@
 
 
 class MalformedReplyError(Exception):
-    """The bytes of an engine's connection break the protocol; nothing after them can be read."""
+    """The bytes of an engine's connection violate the protocol; no bytes after them can be read."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -120,12 +120,12 @@
     """Return the command that starts a query.
 
     Args:
-        request_id: Names the query in all further lines about it.
-        query_class: The class of the settings that it belongs to.
+        request_id: Identifies the query in all further lines about it.
+        query_class: The query's class, as named in the settings.
         ttl_ms: Time that the engine may spend, counted from its receipt of the command.
         statement: The query's text.
-        priority: Order among the engine's waiting queries; not sent where it is None.
-        idempotency_key: By which engines drop duplicates; not sent where it is empty.
+        priority: Order among the engine's waiting queries; not sent if None.
+        idempotency_key: Key by which engines drop duplicates; not sent if empty.
     """
     fields = f"lane={query_class},ttl={max(int(ttl_ms), 1)}"
     if priority is not None:
@@ -147,7 +147,7 @@
 
 
 def fetch_page(request_id: str, number: int) -> bytes:
-    """Return the command that asks for a further page of a result."""
+    """Return the command that requests a further page of a result."""
     return f"FETCH {request_id} {number}\r\n".encode()
 
 
@@ -157,12 +157,12 @@
 
 
 def ping(tag: str) -> bytes:
-    """Return the command that is answered at once, without a load report."""
+    """Return the command that engines answer immediately, without a load report."""
     return f"HELO {tag}\r\n".encode()
 
 
 def query_load(tag: str) -> bytes:
-    """Return the command that asks an engine for its load report."""
+    """Return the command that requests an engine's load report."""
     return f"STAT {tag}\r\n".encode()
 
 
@@ -170,10 +170,10 @@
 
 
 def next_reply(ring: RingBuffer) -> Reply | None:
-    """Take the next complete reply from the buffer; None while more bytes are needed.
+    """Read the next complete reply from the buffer; return None while more bytes are needed.
 
     Raises:
-        MalformedReplyError: The bytes break the protocol.
+        MalformedReplyError: The bytes violate the protocol.
     """
     line_bytes = ring.find(b"\r\n", MAX_LINE_BYTES)
     if line_bytes < 0:
@@ -206,7 +206,7 @@
         words = line.decode("ascii").split()
     except UnicodeDecodeError as error:
         raise MalformedReplyError("line is not text") from error
-    # Without its length a truncated result would pass for an empty one.
+    # A result must have a length: otherwise a truncated result would be read as an empty one.
     if len(words) == 3 and words[1] not in _KINDS_WITH_BODY:
         words.append("")
     if len(words) != 4:
@@ -229,7 +229,7 @@
 def has_complete_rows(page: bytes) -> bool:
     """Return whether a page consists of complete rows of three text columns.
 
-    Every intact page does; one that was cut or damaged on its way seldom does.
+    Every intact page does; a page that was truncated or corrupted in transit seldom does.
     """
     try:
         page.decode("utf-8")
@@ -239,26 +239,26 @@
 
 
 def page_count(fields: dict[str, str]) -> int:
-    """Return the number of pages that a result announces; 0 where it is absent or no number."""
+    """Return the number of pages that a result declares; 0 if it is absent or no number."""
     text = fields.get("count", "")
     return int(text) if text.isdigit() and len(text) <= MAX_DIGITS else 0
 
 
 def page_number(fields: dict[str, str]) -> int:
-    """Return the position of a further page; 0 where it is absent or no number."""
+    """Return the position of a further page; 0 if it is absent or no number."""
     text = fields.get("pos", "")
     return int(text) if text.isdigit() and len(text) <= MAX_DIGITS else 0
 
 
 def has_further_pages(reply: Reply) -> bool:
-    """Return whether the engine holds pages of this result until they are fetched or released."""
+    """Return whether the engine keeps pages of this result until they are fetched or released."""
     return reply.fields.get("count") != "1"
 
 
 def report(fields: dict[str, str]) -> LoadReport | None:
-    """Return a reply's load report; None where it has none with a field that can be read."""
+    """Return a reply's load report; None if it has no report with a readable field."""
     text = fields.get("rep")
-    # Engines that report their load in health checks alone send none here: no object is made.
+    # Avoids an allocation for engines that report their load only in health checks.
     if not text:
         return None
     found = LoadReport()
@@ -276,8 +276,9 @@
 
 
 def _parse_amount(text: str) -> float | None:
-    """Return a finite amount of at least 0, else None: one bad field costs only itself."""
-    # Most replies carry none; an exception for each would cost more than the rest of this module.
+    """Return a finite amount of at least 0, else None: only the malformed field is ignored."""
+    # Most replies have no amount; an exception for each would cost more time than all other code of
+    # this module.
     if not text:
         return None
     try:
@@ -288,7 +289,7 @@
 
 
 def cost(fields: dict[str, str]) -> QueryCost:
-    """Return what a query needed, as its reply reports it; an amount of 0 counts as absent."""
+    """Return the cost of a query that its reply reports; an amount of 0 counts as absent."""
     if "ticks" not in fields and "footprint" not in fields:
         return _UNKNOWN_COST
     work_ms = _parse_amount(fields.get("ticks", ""))
@@ -297,7 +298,7 @@
 
 
 def progress(fields: dict[str, str]) -> Progress | None:
-    """Return the progress of a running query; None where the reply says nothing known."""
+    """Return the progress of a running query; None if the reply reports no known kind."""
     try:
         return Progress(_PROGRESS_KINDS[fields["why"]], float(fields["reading"]))
     except (KeyError, ValueError):
--- a/umberusher/protocol/ops.py
+++ b/umberusher/protocol/ops.py
@@ -1,4 +1,4 @@
-"""Codec of the admin calls: HTTP/1.1 by h11's server side, one call on each connection."""
+"""Codec of the admin calls: HTTP/1.1 by h11's server side, one call per connection."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import h11
 
 MAX_HEAD_BYTES = 8_192
-"""Of a call's request line and headers."""
+"""Maximum size of a call's request line and headers."""
 
 MAX_BODY_BYTES = 4_096
-"""Of a body, which no call needs."""
+"""Maximum size of a call's body, which no call needs."""
 
 PLAIN_TEXT = "text/plain; charset=utf-8"
 
@@ -29,20 +29,20 @@
 
 
 class MalformedCall(NamedTuple):
-    """What can't be read as a call, with the HTTP status of its answer."""
+    """A request that can't be read as a call, with the HTTP status of its answer."""
 
     status: int
     reason: str
 
 
 class AdminResponse(NamedTuple):
-    """The answer of one call.
+    """The answer to a call.
 
     Attributes:
         status: The HTTP status.
         text: The body.
         content_type: The body's media type.
-        allowed_method: The method that the call needs, in an answer that refuses another.
+        allowed_method: The method that the call needs, in an answer that rejects another method.
     """
 
     status: int
@@ -62,7 +62,7 @@
         self._body_bytes = 0
 
     def feed(self, data: bytes) -> AdminCall | MalformedCall | None:
-        """Take received bytes; return None while the call is incomplete."""
+        """Process received bytes; return None while the call is incomplete."""
         try:
             self._http.receive_data(data)
             return self._next_call()
@@ -87,7 +87,7 @@
         return None
 
     def _call(self) -> AdminCall | MalformedCall:
-        # Imported with the first call: it takes 0.3 MB, and many brokers are never called.
+        # Imported on the first call: it uses 0.3 MB, and many brokers never receive an admin call.
         from urllib.parse import unquote, urlsplit
 
         assert self._request is not None
@@ -100,7 +100,7 @@
         return AdminCall(self._request.method.decode("ascii"), segments)
 
     def encode(self, response: AdminResponse) -> bytes:
-        """Return the bytes of the one answer; the connection closes after it."""
+        """Return the bytes of the only answer; the connection closes after it."""
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return b""
         body = response.text.encode()
--- a/umberusher/protocol/statement.py
+++ b/umberusher/protocol/statement.py
@@ -41,7 +41,7 @@
     """A text can't be read as a statement.
 
     Attributes:
-        reason: What is wrong with it.
+        reason: Description of the fault.
     """
 
     def __init__(self, reason: str) -> None:
@@ -51,10 +51,10 @@
 
 
 def table_group(body: bytes) -> int | None:
-    """Return the number in the schema's name; None where the statement names no such schema.
+    """Return the number in a schema's name; None if the statement names no numbered schema.
 
-    A name after FROM, JOIN, INTO and their like is a table's. Elsewhere a dotted name may be an
-    alias with its column, so it counts only where no table is named so.
+    A name after FROM, JOIN, INTO or a similar keyword names a table. A dotted name elsewhere may be
+    an alias with its column, so it is used only if no table name contains a numbered schema.
 
     Raises:
         StatementError: The text is not UTF-8, or a string, comment or name is not closed.
--- a/umberusher/protocol/thrift.py
+++ b/umberusher/protocol/thrift.py
@@ -1,8 +1,8 @@
 """The codec of the client front: framed transport, strict binary protocol, service Front.
 
-Bytes in, calls out; answers in, bytes out. No I/O. A malformed frame or call is a value,
-:class:`Malformed`, which says whether it can still be answered. Source: Apache Thrift's binary
-protocol.
+It decodes calls from bytes and encodes answers as bytes, without I/O. A malformed frame or call is
+returned as a value, :class:`Malformed`, which says whether it can still be answered. Reference:
+Apache Thrift's binary protocol.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 from umberusher.net.ring import RingBuffer
 
-# The largest frame, whatever the memory; a larger one closes the connection.
+# Maximum size of a frame, whatever the memory limit; a larger frame closes the connection.
 MAX_FRAME_BYTES = 1 << 20
-# How deep unknown fields may nest.
+# Maximum nesting depth of unknown fields.
 MAX_NESTING = 8
-# Characters of an unknown method's name that are repeated in a log line.
+# Maximum number of characters of an unknown method's name that are quoted in a log line.
 MAX_QUOTED_CHARACTERS = 40
 
 VERSION = 0x80010000
@@ -51,13 +51,13 @@
 INTERNAL_ERROR = 6
 PROTOCOL_ERROR = 7
 
-# Formats, parsed once.
+# Struct formats, compiled once.
 _I8 = struct.Struct(">b")
 _I16 = struct.Struct(">h")
 _I32 = struct.Struct(">i")
 _U32 = struct.Struct(">I")
 _LENGTH_BYTES = 4
-# Of an entry of a map of strings: two lengths.
+# Minimum size of an entry of a map of strings: two lengths.
 _MIN_PAIR_BYTES = 2 * _LENGTH_BYTES
 
 
@@ -79,18 +79,18 @@
 
 @dataclass(slots=True)
 class Check:
-    """The question whether this broker is good for clients."""
+    """A health check: the client asks whether this broker accepts clients."""
 
     seqid: int
 
 
 @dataclass(slots=True)
 class Malformed:
-    """What could not be read.
+    """A frame or call that could not be read.
 
     Attributes:
-        reason: What is wrong with it.
-        seqid: The call's sequence id; None where nothing can be answered.
+        reason: Description of the fault.
+        seqid: The call's sequence id; None if it can't be answered.
         name: The called method.
         kind: The type of the application exception that answers it.
     """
@@ -102,7 +102,7 @@
 
 
 class _MalformedError(Exception):
-    """A message breaks the protocol; it stays in this module."""
+    """A message violates the protocol; raised and handled in this module only."""
 
 
 class _Reader:
@@ -112,31 +112,31 @@
         self.data = data
         self.position = 0
 
-    def take(self, size: int) -> bytes:
+    def read_bytes(self, size: int) -> bytes:
         if size < 0 or self.position + size > len(self.data):
             raise _MalformedError("cut short")
         self.position += size
         return self.data[self.position - size : self.position]
 
-    def number(self, form: struct.Struct) -> int:
+    def number(self, number_format: struct.Struct) -> int:
         start = self.position
-        self.position = end = start + form.size
+        self.position = end = start + number_format.size
         if end > len(self.data):
             raise _MalformedError("cut short")
-        value: int = form.unpack_from(self.data, start)[0]
+        value: int = number_format.unpack_from(self.data, start)[0]
         return value
 
     def i32(self) -> int:
         return self.number(_I32)
 
     def string(self) -> bytes:
-        return self.take(self.number(_I32))
+        return self.read_bytes(self.number(_I32))
 
     def text(self) -> str:
         return self.string().decode("utf-8")
 
     def count(self, min_bytes: int) -> int:
-        """Return a count of elements, each of which takes ``min_bytes`` or more."""
+        """Return a count of elements, each of which is at least ``min_bytes`` long."""
         count = self.number(_I32)
         if count < 0 or count * max(min_bytes, 1) > len(self.data) - self.position:
             raise _MalformedError("more elements than bytes")
@@ -145,7 +145,7 @@
     def string_map(self) -> dict[str, str]:
         """Return a map of text to text.
 
-        Each call has a dozen entries: they are read without a method call for each length.
+        Each call has a dozen entries, so they are read without a method call for each length.
         """
         key_type = self.number(_I8)
         value_type = self.number(_I8)
@@ -173,12 +173,12 @@
         if not depth:
             raise _MalformedError("nested too deep")
         if kind in _FIXED_WIDTHS:
-            self.take(_FIXED_WIDTHS[kind])
+            self.read_bytes(_FIXED_WIDTHS[kind])
         elif kind == STRING:
             self.string()
         elif kind == STRUCT:
             while (inner := self.number(_I8)) != STOP:
-                self.take(_I16.size)
+                self.read_bytes(_I16.size)
                 self.skip(inner, depth - 1)
         elif kind in (MAP, SET, LIST):
             self._skip_container(kind, depth)
@@ -194,10 +194,10 @@
     def arguments(
         self, wanted: Mapping[int, tuple[int, Callable[[_Reader], Any]]]
     ) -> dict[int, Any]:
-        """Return the fields of a struct that are wanted by number, and skip the others.
+        """Return the wanted fields of a struct by field number; other fields are skipped.
 
         Args:
-            wanted: By field number, the type that it must have and what reads it.
+            wanted: By field number, the required type and the function that reads the value.
         """
         found: dict[int, Any] = {}
         while (kind := self.number(_I8)) != STOP:
@@ -214,15 +214,15 @@
 
 
 def next_frame(ring: RingBuffer, max_bytes: int = MAX_FRAME_BYTES) -> bytes | Malformed | None:
-    """Take the next complete frame from the ring.
+    """Read the next complete frame from the ring.
 
     Args:
-        ring: What was received.
-        max_bytes: Limit of a frame.
+        ring: The received bytes.
+        max_bytes: Maximum size of a frame.
 
     Returns:
-        The frame without its length; None while more bytes are needed; Malformed where the length
-        is impossible, after which nothing can be read.
+        The frame without its length; None while more bytes are needed; Malformed if the length is
+        invalid, after which no further frame can be read.
     """
     if len(ring) < _LENGTH_BYTES:
         return None
@@ -236,7 +236,7 @@
 
 
 def decode_call(frame: bytes) -> Execute | Interrupt | Check | Malformed:
-    """Return the call that a frame holds."""
+    """Return the call that a frame contains."""
     reader = _Reader(frame)
     seqid = None
     name = ""
@@ -253,7 +253,7 @@
                 raise _MalformedError("execute lacks an argument")
             return Execute(seqid, arguments[1], arguments[2])
         if name == "interrupt":
-            return _interrupt(reader)
+            return _read_interrupt(reader)
         if name == "check":
             reader.arguments({})
             return Check(seqid)
@@ -263,65 +263,69 @@
     return Malformed(f"unknown method {quoted_name}", seqid, name, UNKNOWN_METHOD)
 
 
-def _interrupt(reader: _Reader) -> Interrupt | Malformed:
+def _read_interrupt(reader: _Reader) -> Interrupt | Malformed:
     arguments = reader.arguments(_INTERRUPT_ARGUMENTS)
-    # It is one-way: there is no answer that could tell what is wrong.
+    # The method is one-way, so an error can't be reported in an answer.
     return Interrupt(arguments[1]) if arguments else Malformed("interrupt lacks its number")
 
 
-def _string(data: bytes | str) -> bytes:
+def _encode_string(data: bytes | str) -> bytes:
     raw = data.encode() if isinstance(data, str) else data
     return _I32.pack(len(raw)) + raw
 
 
-def _string_map_field(number: int, fields: dict[str, str]) -> bytes:
+def _encode_string_map_field(number: int, fields: dict[str, str]) -> bytes:
     head = struct.pack(">bhbbi", MAP, number, STRING, STRING, len(fields))
-    return head + b"".join(_string(key) + _string(value) for key, value in fields.items())
+    return head + b"".join(
+        _encode_string(key) + _encode_string(value) for key, value in fields.items()
+    )
 
 
-def _message(kind: int, name: str, seqid: int, payload: bytes) -> bytes:
+def _encode_message(kind: int, name: str, seqid: int, payload: bytes) -> bytes:
     """Return a framed message."""
-    head = _U32.pack(VERSION | kind) + _string(name) + _I32.pack(seqid)
-    return _string(head + payload)
+    head = _U32.pack(VERSION | kind) + _encode_string(name) + _I32.pack(seqid)
+    return _encode_string(head + payload)
 
 
 def encode_answer(name: str, seqid: int, body: bytes, fields: dict[str, str], good: bool) -> bytes:
-    """Return the reply whose result is an Answer."""
+    """Return the reply whose result is the struct Answer."""
     answer = (
         struct.pack(">bh", STRING, 1)
-        + _string(body)
-        + _string_map_field(2, fields)
+        + _encode_string(body)
+        + _encode_string_map_field(2, fields)
         + struct.pack(">bhbb", BOOL, 3, good, STOP)
     )
-    return _message(REPLY, name, seqid, struct.pack(">bh", STRUCT, 0) + answer + b"\0")
+    return _encode_message(REPLY, name, seqid, struct.pack(">bh", STRUCT, 0) + answer + b"\0")
 
 
 def _encode_exception(number: int, seqid: int, fields: dict[str, str]) -> bytes:
     """Return the reply that throws the declared exception with this field number."""
-    payload = struct.pack(">bh", STRUCT, number) + _string_map_field(1, fields) + b"\0\0"
-    return _message(REPLY, "execute", seqid, payload)
+    payload = struct.pack(">bh", STRUCT, number) + _encode_string_map_field(1, fields) + b"\0\0"
+    return _encode_message(REPLY, "execute", seqid, payload)
 
 
 def encode_trylater(seqid: int, fields: dict[str, str]) -> bytes:
-    """Return a rejection, which the protocol calls Trylater."""
+    """Return the reply for a rejected request, exception Trylater in the protocol."""
     return _encode_exception(1, seqid, fields)
 
 
 def encode_aborted(seqid: int, fields: dict[str, str]) -> bytes:
-    """Return a failure, which the protocol calls Aborted."""
+    """Return the reply for a failed request, exception Aborted in the protocol."""
     return _encode_exception(2, seqid, fields)
 
 
 def encode_application_exception(name: str, seqid: int, kind: int, reason: str) -> bytes:
-    """Return the answer to a call that makes no sense.
+    """Return the answer to an invalid call.
 
     Args:
         name: The called method.
         seqid: The call's sequence id.
         kind: The type of the exception, such as PROTOCOL_ERROR.
-        reason: What is wrong with the call.
+        reason: Description of the fault.
     """
     payload = (
-        struct.pack(">bh", STRING, 1) + _string(reason) + struct.pack(">bhib", I32, 2, kind, STOP)
+        struct.pack(">bh", STRING, 1)
+        + _encode_string(reason)
+        + struct.pack(">bhib", I32, 2, kind, STOP)
     )
-    return _message(EXCEPTION, name, seqid, payload)
+    return _encode_message(EXCEPTION, name, seqid, payload)
