--- a/tests/discovery/conftest.py
+++ b/tests/discovery/conftest.py
@@ -7,13 +7,13 @@
 
 @pytest.fixture
 def scripted():
-    made = []
+    created = []
 
-    def make(*args, **more) -> ScriptedDiscovery:
-        made.append(ScriptedDiscovery(*args, **more))
-        made[-1].client.start()
-        return made[-1]
+    def make(*args, **kwargs) -> ScriptedDiscovery:
+        created.append(ScriptedDiscovery(*args, **kwargs))
+        created[-1].client.start()
+        return created[-1]
 
     yield make
-    for each in made:
+    for each in created:
         each.close()
--- a/tests/discovery/scripted_discovery.py
+++ b/tests/discovery/scripted_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery client before a scripted discovery service, on a stepped clock."""
+"""A discovery client connected to a scripted discovery service, on a stepped clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from umberusher.net.loop import Loop
 from umberusher.protocol import discovery as codec
 
-MAX_POLLS = 500  # after which a play is broken off: it goes in a circle
+MAX_POLLS = 500  # limit of a test: a client that polls in a loop would never finish
 
 
 class ScriptedDiscovery:
@@ -18,11 +18,11 @@
 
     Attributes:
         now: The clock, in s.
-        reply: The bytes with which polls are answered.
+        reply: The bytes that answer each poll.
         revision: The newest revision that the client has delivered.
         events: The watch events delivered.
-        polled_at_s: When polls arrived.
-        unsent: What is still to be written, by connection.
+        polled_at_s: Arrival times of the polls.
+        unsent: Bytes that must still be sent, by connection.
     """
 
     def __init__(self, reply: bytes, revision: int = 0, listens: bool = True) -> None:
@@ -56,10 +56,10 @@
             pass
         for sock in list(self.unsent):
             try:
-                heard = sock.recv(1 << 16)
-                if not heard:
+                received = sock.recv(1 << 16)
+                if not received:
                     raise OSError(errno.EPIPE, "closed")
-                for _ in range(heard.count(b"GET ")):
+                for _ in range(received.count(b"GET ")):
                     self.polled_at_s.append(self.now)
                     self.unsent[sock] += self.reply
             except BlockingIOError:
@@ -78,16 +78,22 @@
                 sock.close()
 
     def settle(self, rounds: int = 12) -> None:
-        """Let all that is under way at this moment come to its end: a long answer may wait for the kernel."""
-        begun, whole = time.monotonic(), len(self.reply.partition(b"\r\n\r\n")[2])
+        """Process all input and output of this moment.
+
+        A long answer may need several rounds, since the kernel accepts only a part of it at a time.
+        """
+        started_s, body_bytes = time.monotonic(), len(self.reply.partition(b"\r\n\r\n")[2])
         while rounds > 0:
             self._serve()
-            partial = (
+            answer_is_partial = (
                 self.client.connection is not None
-                and 0 < self.client.poll_client.answer_bytes < whole
+                and 0 < self.client.poll_client.answer_bytes < body_bytes
             )
-            self.loop.step(1 if partial else 0)
-            if not (partial or any(self.unsent.values())) or time.monotonic() > begun + 5:
+            self.loop.step(1 if answer_is_partial else 0)
+            if (
+                not (answer_is_partial or any(self.unsent.values()))
+                or time.monotonic() > started_s + 5
+            ):
                 rounds -= 1
 
     def until(self, condition, rounds: int = 4000) -> None:
@@ -96,10 +102,10 @@
                 return
             self._serve()
             self.loop.step(1)
-        raise AssertionError("it did not come to that")
+        raise AssertionError("the condition did not become true")
 
     def advance(self, seconds: float) -> None:
-        """Step from one timer to the next."""
+        """Advance the clock in steps from one timer to the next."""
         end = self.now + seconds
         while len(self.polled_at_s) <= MAX_POLLS:
             self.settle()
--- a/tests/discovery/test_broker_discovery.py
+++ b/tests/discovery/test_broker_discovery.py
@@ -1,4 +1,8 @@
-"""A broker on sockets before a discovery service that fails: no drain may be missed."""
+"""Tests of a broker on sockets with a discovery service that fails.
+
+Guards against a missed drain, after which the broker would go on using a drained engine, and against
+a broker that becomes ready late or polls in a loop.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +20,8 @@
 from umberusher.net.connection import State
 
 
-def tell(rig, entry: dict) -> None:
-    """One entry of a notice, just as it is."""
+def send_raw_entry(rig, entry: dict) -> None:
+    """Send one entry of a watch event without changes, and wait until it is applied."""
     rig.rev += 1
     body = json.dumps(
         {
@@ -32,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    "more",
+    "fields",
     [
         {"zone": ["room-a"]},
         {"machineType": {}},
@@ -47,9 +51,11 @@
     ],
 )
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
-def test_broker_applies_a_drain_when_the_rest_of_its_entry_is_malformed(rig, more, state):
-    """A field of a wrong type had the decisions miss the whole notice, or had the entry left out: the engine went on
-    being used."""
+def test_broker_applies_a_drain_when_other_fields_of_its_entry_are_malformed(rig, fields, state):
+    """A field of a wrong type once discarded the watch event or its entry.
+
+    The engine then stayed in use.
+    """
     rig = rig(2)
     good = {
         "instanceId": "s-0",
@@ -61,122 +67,126 @@
         "weight": 1,
         "startedAtMs": 0,
     }
-    tell(rig, good | more)
+    send_raw_entry(rig, good | fields)
     assert {each.id for each in rig.broker.balancer.up} == {"s-1"}
     assert rig.broker.endpoints.find("s-0") is None
 
 
 def test_broker_hands_over_a_draining_engine_without_address_and_accepts_it_again(rig):
     rig = rig()
-    tell(rig, {"instanceId": "s-9", "lifecycle": "DRAINING"})
+    send_raw_entry(rig, {"instanceId": "s-9", "lifecycle": "DRAINING"})
     assert (
         json.loads("".join(rig.broker.restart_host.endpoint_list()))["notices"][0]["pool"][
             "instances"
         ][1]["lifecycle"]
         == "DRAINING"
     )
-    tell(rig, {"instanceId": "s-9", "lifecycle": "SERVING", "hostPort": rig.address("s-0")})
+    send_raw_entry(
+        rig, {"instanceId": "s-9", "lifecycle": "SERVING", "hostPort": rig.address("s-0")}
+    )
     assert rig.broker.endpoints.find("s-9").address[1] and rig.broker.balancer.engines["s-9"].up
 
 
 def test_broker_skips_a_serving_engine_without_address(rig):
     rig = rig()
-    tell(rig, {"instanceId": "s-9", "lifecycle": "SERVING"})
+    send_raw_entry(rig, {"instanceId": "s-9", "lifecycle": "SERVING"})
     assert (
         "s-9" not in rig.broker.endpoints.directory
         and rig.broker.endpoints.directory["s-0"].state is EndpointState.UP
     )
 
 
-def ask(rig, name: str = "board"):
-    """The next poll, on a connection of its own."""
+def accept_poll(rig, name: str = "board"):
+    """Accept a new connection and wait for its poll."""
     peer = rig.accept(name)
     rig.expect(peer, b"GET /board/poll?watch=")
     return peer
 
 
-def listed(rig, *entries, reset: bool = False) -> bytes:
+def list_answer(rig, *entries, reset: bool = False) -> bytes:
     body = json.dumps(rig.notices(*entries, reset=reset)).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-def fresh_at(rig, name: str) -> None:
-    """A new configuration that names this board; read at once."""
-    fresh = copy.deepcopy(rig.broker.config)
-    fresh.discovery = rig.listeners[name].getsockname()
-    rig.broker.reloader.load_config = lambda: fresh
+def reconfigure_discovery(rig, name: str) -> None:
+    """Load a configuration that names another discovery service, at once."""
+    config = copy.deepcopy(rig.broker.config)
+    config.discovery = rig.listeners[name].getsockname()
+    rig.broker.reloader.load_config = lambda: config
     rig.broker.reloader.run()
 
 
 def test_broker_applies_a_drain_over_a_new_connection_when_an_answer_is_cut_off(rig):
     rig = rig(2)
     rig.expect(rig.board, b"GET")
-    told = listed(rig, ("s-0", "s-0", "DRAINING"))
-    rig.board.sock.send(told[:-20])  # and nothing more: the connection stays open
+    answer = list_answer(rig, ("s-0", "s-0", "DRAINING"))
+    rig.board.sock.send(answer[:-20])  # nothing else is sent, and the connection stays open
     rig.later(600)
     assert rig.broker.endpoints.find("s-0") and not rig.board.ended
     rig.later(200)
-    ask(rig).sock.send(told)
+    accept_poll(rig).sock.send(answer)
     rig.until(lambda: rig.broker.endpoints.find("s-0") is None)
 
 
 def test_broker_applies_a_drain_announced_while_it_was_disconnected(rig):
     rig = rig(2)
     rig.board.sock.close()
-    told = listed(rig, ("s-0", "s-0", "DRAINING"))
+    answer = list_answer(rig, ("s-0", "s-0", "DRAINING"))
     rig.later(100)
-    ask(rig).sock.send(told)
+    accept_poll(rig).sock.send(answer)
     rig.until(lambda: rig.broker.endpoints.find("s-0") is None)
 
 
-@pytest.mark.parametrize("moment", ["poll", "rest", "back-off", "connect", "answered"])
+@pytest.mark.parametrize("moment", ["poll", "pause", "back-off", "connect", "answered"])
 def test_broker_polls_only_the_new_address_when_reconfigured_at_any_moment(rig, moment):
     rig = rig(2)
     rig.listeners["other"] = rig._listen()
-    board, old = rig.broker.discovery, rig.board
-    rig.expect(old, b"GET")
-    if moment == "rest":  # the old board does not wait
+    client, old_peer = rig.broker.discovery, rig.board
+    rig.expect(old_peer, b"GET")
+    if moment == "pause":  # the old service answers without waiting
         for _ in range(3):
-            old.got = b""
-            old.sock.send(
+            old_peer.got = b""
+            old_peer.sock.send(
                 b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n" + b'{"rev":1,"notices":[]}'
             )
             rig.later(40)
     elif moment == "back-off":
-        place = rig.listeners.pop("board")
-        place.close()
-        old.sock.close()
-        rig.until(lambda: rig.later(20) or board.connection is None)
+        listener = rig.listeners.pop("board")
+        listener.close()
+        old_peer.sock.close()
+        rig.until(lambda: rig.later(20) or client.connection is None)
     elif moment == "connect":
-        board._disconnect()
-        board.start()
-        assert board.connection.state is State.CONNECTING
-    elif moment == "answered":  # its answer lies with the kernel when the configuration is read
-        old.sock.send(listed(rig, ("s-1", "s-1", "DRAINING")))
+        client._disconnect()
+        client.start()
+        assert client.connection.state is State.CONNECTING
+    elif (
+        moment == "answered"
+    ):  # its answer is in the socket buffer when the configuration is loaded
+        old_peer.sock.send(list_answer(rig, ("s-1", "s-1", "DRAINING")))
     rig.rev = 1
-    fresh_at(rig, "other")
-    new = ask(rig, "other")
-    if moment == "poll":  # old and new answer crosswise
+    reconfigure_discovery(rig, "other")
+    new_peer = accept_poll(rig, "other")
+    if moment == "poll":  # the old service answers after the new connection has polled
         try:
-            old.sock.send(listed(rig, ("s-1", "s-1", "DRAINING")))
+            old_peer.sock.send(list_answer(rig, ("s-1", "s-1", "DRAINING")))
         except OSError:
             pass
         rig.rev = 1
-    new.sock.send(listed(rig, ("s-0", "s-0", "DRAINING")))
+    new_peer.sock.send(list_answer(rig, ("s-0", "s-0", "DRAINING")))
     rig.until(lambda: rig.broker.endpoints.find("s-0") is None)
     rig.later(3000)
     assert (
-        rig.broker.endpoints.find("s-1") and board.address == rig.listeners["other"].getsockname()
+        rig.broker.endpoints.find("s-1") and client.address == rig.listeners["other"].getsockname()
     )
 
 
 def test_broker_removes_every_engine_on_an_empty_list_and_restores_them_on_the_next(rig):
     rig = rig(2)
-    rig.board.sock.send(listed(rig, reset=True))
+    rig.board.sock.send(list_answer(rig, reset=True))
     rig.until(lambda: not rig.broker.endpoints.directory)
     assert not rig.broker.readiness.accepts_clients() and not rig.broker.balancer.up
     rig.expect(rig.board, b"watch=2")
-    rig.board.sock.send(listed(rig, ("s-0", "s-0", "SERVING")))
+    rig.board.sock.send(list_answer(rig, ("s-0", "s-0", "SERVING")))
     rig.until(lambda: rig.broker.endpoints.find("s-0"))
     assert rig.broker.readiness.accepts_clients()
 
@@ -184,37 +194,37 @@
 def test_broker_ignores_regressed_revisions_without_polling_in_a_loop(rig):
     rig = rig(2)
     rig.news(("s-0", "s-0", "SERVING"))
-    seen, rig.rev = rig.broker.endpoints.revision, 0
+    revision_before, rig.rev = rig.broker.endpoints.revision, 0
     rig.board.read()
     rig.board.got = b""
     for _ in range(20):
         rig.rev = 0
-        rig.board.sock.send(listed(rig, ("s-0", "s-0", "DELETED"), reset=True))
+        rig.board.sock.send(list_answer(rig, ("s-0", "s-0", "DELETED"), reset=True))
         rig.later(20)
-    assert rig.broker.endpoints.revision == seen and rig.broker.endpoints.find("s-0")
+    assert rig.broker.endpoints.revision == revision_before and rig.broker.endpoints.find("s-0")
     assert rig.board.read().count(b"GET") <= 8
 
 
 def test_broker_polls_again_later_when_no_descriptor_is_free(rig, monkeypatch):
     rig = rig()
-    real, left = socket.socket, [3]
+    original_socket, failures_left = socket.socket, [3]
 
-    def short(*args, **more):
-        if left[0]:
-            left[0] -= 1
+    def fail_without_descriptor(*args, **kwargs):
+        if failures_left[0]:
+            failures_left[0] -= 1
             raise OSError(errno.EMFILE, "too many")
-        return real(*args, **more)
+        return original_socket(*args, **kwargs)
 
-    monkeypatch.setattr(connection.socket, "socket", short)
+    monkeypatch.setattr(connection.socket, "socket", fail_without_descriptor)
     rig.board.sock.close()
     rig.later(1000)
     monkeypatch.undo()
-    assert not left[0]
-    ask(rig)
+    assert not failures_left[0]
+    accept_poll(rig)
 
 
 @pytest.mark.parametrize(
-    ("entries", "told"),
+    ("entries", "expected_line"),
     [
         (
             [("s-0", "s-0", "SERVING")],
@@ -223,14 +233,14 @@
         ([], "broker_not_ready after_s=3.1 reason=no_endpoints"),
     ],
 )
-def test_broker_logs_what_delays_its_start(rig, caplog, entries, told):
+def test_broker_logs_what_delays_its_start(rig, caplog, entries, expected_line):
     caplog.set_level("INFO", logger="umberusher.broker.readiness")
     rig = rig(len(entries))
     rig.broker.discovery.has_answered = False
     rig.broker.readiness.logged_start = readiness.LoggedStart.NOTHING
     rig.later(4000)
     lines = [r.getMessage() for r in caplog.records if "ready" in r.getMessage()]
-    assert len(lines) == 1 and lines[0].startswith(told)
+    assert len(lines) == 1 and lines[0].startswith(expected_line)
 
 
 @pytest.mark.parametrize(("answers_ms", "ready_ms"), [(None, 3_100), (2_000, 2_400), (0, 200)])
@@ -243,20 +253,20 @@
         rig.notice(*[(f"e-{n}", "s-0", "SERVING") for n in range(1024)], reset=True)
     )
     broker.discovery.has_answered = False
-    begun, polls = rig.now, [rig.board]
+    started_s, polls = rig.now, [rig.board]
     while not broker.readiness.is_ready():
         rig.later(100)
         try:
             polls.append(
                 rig.keep(Peer(rig.listeners["board"].accept()[0]))
-            )  # it asks again over a new connection
+            )  # it polls again over a new connection
         except BlockingIOError:
             pass
         if (
             answers_ms is not None
-            and (rig.now - begun) * 1000 >= answers_ms
+            and (rig.now - started_s) * 1000 >= answers_ms
             and b"GET" in polls[-1].read()
         ):
-            polls[-1].sock.send(listed(rig))
+            polls[-1].sock.send(list_answer(rig))
             rig.step(0)
-    assert (rig.now - begun) * 1000 <= ready_ms and len(broker.balancer.up) == 1024
+    assert (rig.now - started_s) * 1000 <= ready_ms and len(broker.balancer.up) == 1024
--- a/tests/protocol/discovery_answers.py
+++ b/tests/protocol/discovery_answers.py
@@ -4,11 +4,11 @@
 
 import json
 
-ENDPOINT_ITEM_BYTES = 215  # bytes of one entry as the boards tell it
+ENDPOINT_ITEM_BYTES = 215  # size of one entry as the discovery service sends it
 
 
 def endpoint_item(number: int, state: str = "SERVING", port: int = 5000) -> dict:
-    """One line of a list, as long as they are."""
+    """Return one entry of a list, as long as real entries are."""
     return {
         "instanceId": f"db-{number:05d}-{number * 31:08x}",
         "hostPort": f"10.0.{number % 200}.7:{port}",
--- a/tests/protocol/test_codecs.py
+++ b/tests/protocol/test_codecs.py
@@ -1,4 +1,4 @@
-"""What the codecs of clients and engines make of any bytes."""
+"""Guards against arbitrary bytes that raise unexpected errors in the client and engine codecs."""
 
 from __future__ import annotations
 
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -1,3 +1,9 @@
+"""Tests of the codec of the discovery service.
+
+Guards against one malformed entry or field that discards a whole watch event, against malformed
+documents that are accepted, and against lists that need more memory than the limit allows.
+"""
+
 from __future__ import annotations
 
 import json
@@ -20,17 +26,17 @@
         "lifecycle": "SERVING",
         "startedAtMs": 0,
     }
-    made = [
+    notices = [
         {"rev": rev, "pool": {"reset": rev == 1, "instances": [good, {"instanceId": "s-2"}]}}
         for rev in (3, 2, 1)
     ]
-    found = codec.watch_events({"notices": made}, 1)
-    assert [(n.revision, n.complete, len(n.entries), n.skipped) for n in found] == [
+    events = codec.watch_events({"notices": notices}, 1)
+    assert [(n.revision, n.complete, len(n.entries), n.skipped) for n in events] == [
         (2, False, 1, 1),
         (3, False, 1, 1),
     ]
     assert (
-        found[0].addresses == {"s-1": ("127.0.0.1", 5)} and found[0].entries[0].started_ms is None
+        events[0].addresses == {"s-1": ("127.0.0.1", 5)} and events[0].entries[0].started_ms is None
     )
 
 
@@ -62,18 +68,18 @@
 
 
 def test_watch_events_accepts_an_unreadable_complete_list_when_a_later_one_is_readable():
-    made = [
+    notices = [
         {"rev": rev, "pool": {"reset": True, "instances": raw}}
         for rev, raw in ((1, [{}]), (2, [endpoint_item(1)]))
     ]
-    assert [len(each.entries) for each in codec.watch_events({"notices": made}, 0)][-1] == 1
+    assert [len(each.entries) for each in codec.watch_events({"notices": notices}, 0)][-1] == 1
     with pytest.raises(codec.DiscoveryProtocolError):
-        codec.watch_events({"notices": made[:1]}, 0)
+        codec.watch_events({"notices": notices[:1]}, 0)
 
 
-@pytest.mark.parametrize("more", [{"weight": 10**400}, {"startedAtMs": 10**400}, {"cell": True}])
-def test_watch_events_drops_only_the_number_when_it_is_too_large(more):
-    (notice,) = codec.watch_events(
-        json.loads(answer_body(1, [endpoint_item(1, "DRAINING") | more])), 0
+@pytest.mark.parametrize("fields", [{"weight": 10**400}, {"startedAtMs": 10**400}, {"cell": True}])
+def test_watch_events_drops_only_the_number_when_it_is_too_large(fields):
+    (event,) = codec.watch_events(
+        json.loads(answer_body(1, [endpoint_item(1, "DRAINING") | fields])), 0
     )
-    assert notice.entries[0].state is EndpointState.DRAINING and not notice.skipped
+    assert event.entries[0].state is EndpointState.DRAINING and not event.skipped
--- a/tests/protocol/test_discovery_poll.py
+++ b/tests/protocol/test_discovery_poll.py
@@ -1,3 +1,5 @@
+"""Guards against unusable answers that are accepted, and against a list held in memory twice."""
+
 from __future__ import annotations
 
 import sys
@@ -39,20 +41,20 @@
 
 
 def test_poll_client_holds_a_list_once_while_it_is_read():
-    """Its bytes stood there twice, its text, and a dict for each entry, beside what is made of them."""
+    """A list was held twice as bytes, once as text and as a dict per entry, beside its result."""
     data, client = (
         http_answer(answer_body(1, [endpoint_item(n) for n in range(4_000)])),
         PollClient("h:1"),
     )
     client.poll(0, 20)
-    # Interned before: the table of all interned words may double in any test that adds to it, by megabytes.
+    # Interned beforehand: the table of interned strings can double, by megabytes, on any addition.
     shared = [sys.intern(endpoint_item(n)["instanceId"]) for n in range(4_000)]
     tracemalloc.start()
     try:
-        for at in range(0, len(data), 1 << 16):
-            found = client.feed(data[at : at + (1 << 16)])
-        (notice,) = codec.watch_events(found, 0)
+        for position in range(0, len(data), 1 << 16):
+            document = client.feed(data[position : position + (1 << 16)])
+        (event,) = codec.watch_events(document, 0)
         peak = tracemalloc.get_traced_memory()[1]
     finally:
         tracemalloc.stop()
-    assert len(notice.entries) == len(shared) == 4_000 and peak < 3 * len(data)
+    assert len(event.entries) == len(shared) == 4_000 and peak < 3 * len(data)
--- a/tests/protocol/test_engine.py
+++ b/tests/protocol/test_engine.py
@@ -1,4 +1,4 @@
-"""The codec of the engines' line protocol: replies in pieces, malformed replies, load reports."""
+"""Guards against misread replies of engines: in pieces, malformed, or without a number."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 @pytest.mark.parametrize("size", [1, 3, 1000])
 def test_next_reply_reads_replies_when_they_arrive_in_pieces(size):
-    ring, got = RingBuffer(10_000), []
-    sent = b"a HIT count=2 4\r\nx\ty\n\r\nb SHED - 0\r\n\r\nt PONG rep=inflight:7;x0:0.4\r\na PART pos=1 0\r\n\r\n"
-    for at in range(0, len(sent), size):
-        ring.write(sent[at : at + size])
+    ring, replies = RingBuffer(10_000), []
+    data = b"a HIT count=2 4\r\nx\ty\n\r\nb SHED - 0\r\n\r\nt PONG rep=inflight:7;x0:0.4\r\na PART pos=1 0\r\n\r\n"
+    for position in range(0, len(data), size):
+        ring.write(data[position : position + size])
         while (reply := engine.next_reply(ring)) is not None:
-            got.append((reply.id, reply.kind, reply.fields, reply.body))
-    assert got == [
+            replies.append((reply.id, reply.kind, reply.fields, reply.body))
+    assert replies == [
         ("a", "HIT", {"count": "2"}, b"x\ty\n"),
         ("b", "SHED", {}, b""),
         ("t", "PONG", {"rep": "inflight:7;x0:0.4"}, b""),
         ("a", "PART", {"pos": "1"}, b""),
     ]
-    assert engine.report(got[2][2]) == LoadReport(in_flight=7.0, memory_share=0.4)
+    assert engine.report(replies[2][2]) == LoadReport(in_flight=7.0, memory_share=0.4)
 
 
 @pytest.mark.parametrize(
--- a/tests/protocol/test_statement.py
+++ b/tests/protocol/test_statement.py
@@ -1,4 +1,4 @@
-"""The group of tables that a statement names."""
+"""Guards against a table group that is read from a comment, a string, an alias or a staging table."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         (b"\xff\xfe", "not text"),
     ],
 )
-def test_table_group_raises_when_text_does_not_close(sql, reason):
+def test_table_group_raises_when_text_is_malformed(sql, reason):
     with pytest.raises(StatementError) as raised:
         table_group(sql)
     assert raised.value.reason == reason
--- a/tests/protocol/test_thrift.py
+++ b/tests/protocol/test_thrift.py
@@ -1,4 +1,4 @@
-"""The codec of the client front."""
+"""Guards against misread calls and against answers that differ from the Thrift binary protocol."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 def test_encoder_writes_rejection_and_answer_to_the_byte():
     head = struct.pack(">I", 0x80010002) + text("execute") + struct.pack(">i", 5)
-    refused = (
+    rejection = (
         head
         + struct.pack(">bhbhbbi", 12, 1, 13, 1, 11, 11, 1)
         + text("backoff")
@@ -62,14 +62,16 @@
         + b"\0\0"
     )
     assert (
-        thrift.encode_trylater(5, {"backoff": "500"}) == struct.pack(">i", len(refused)) + refused
+        thrift.encode_trylater(5, {"backoff": "500"})
+        == struct.pack(">i", len(rejection)) + rejection
     )
-    good = (
+    answer = (
         head
         + struct.pack(">bhbhi", 12, 0, 11, 1, 2)
         + b"a\n"
         + struct.pack(">bhbbibhbbb", 13, 2, 11, 11, 0, 2, 3, 1, 0, 0)
     )
     assert (
-        thrift.encode_answer("execute", 5, b"a\n", {}, True) == struct.pack(">i", len(good)) + good
+        thrift.encode_answer("execute", 5, b"a\n", {}, True)
+        == struct.pack(">i", len(answer)) + answer
     )
