--- a/umberusher/protocol/discovery_poll.py
+++ b/umberusher/protocol/discovery_poll.py
@@ -88,7 +88,7 @@
             raise
         except h11.ProtocolError as error:
             raise DiscoveryProtocolError(str(error), "no HTTP", self.answer_is_long) from error
-        except ValueError as error:  # h11 also raises it for a Content-Length that is no number
+        except ValueError as error:  # h11 also raises it for a Content-Length it can't convert
             raise DiscoveryProtocolError(
                 f"not JSON: {error}", "not JSON", self.answer_is_long
             ) from error
