--- a/tests/protocol/test_thrift.py
+++ b/tests/protocol/test_thrift.py
@@ -1,4 +1,4 @@
-"""The codec of the client front."""
+"""Guards against misread calls and against answers that differ from the Thrift binary protocol."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert (found.seqid, found.kind) == (9, thrift.UNKNOWN_METHOD)
 
 
-@pytest.mark.parametrize("size", [0, -1, thrift.MAX_FRAME + 1])
+@pytest.mark.parametrize("size", [0, -1, thrift.MAX_FRAME_BYTES + 1])
 def test_next_frame_is_malformed_when_size_is_impossible(size):
     ring = RingBuffer(100)
     ring.write(struct.pack(">i", size))
@@ -54,7 +54,7 @@
 
 def test_encoder_writes_rejection_and_answer_to_the_byte():
     head = struct.pack(">I", 0x80010002) + text("execute") + struct.pack(">i", 5)
-    refused = (
+    rejection = (
         head
         + struct.pack(">bhbhbbi", 12, 1, 13, 1, 11, 11, 1)
         + text("backoff")
@@ -62,14 +62,16 @@
         + b"\0\0"
     )
     assert (
-        thrift.encode_trylater(5, {"backoff": "500"}) == struct.pack(">i", len(refused)) + refused
+        thrift.encode_trylater(5, {"backoff": "500"})
+        == struct.pack(">i", len(rejection)) + rejection
     )
-    good = (
+    answer = (
         head
         + struct.pack(">bhbhi", 12, 0, 11, 1, 2)
         + b"a\n"
         + struct.pack(">bhbbibhbbb", 13, 2, 11, 11, 0, 2, 3, 1, 0, 0)
     )
     assert (
-        thrift.encode_answer("execute", 5, b"a\n", {}, True) == struct.pack(">i", len(good)) + good
+        thrift.encode_answer("execute", 5, b"a\n", {}, True)
+        == struct.pack(">i", len(answer)) + answer
     )
