--- a/umberusher/broker/restart_host.py
+++ b/umberusher/broker/restart_host.py
@@ -78,9 +78,9 @@
         """
         recalled = self._endpoints.recall_times()
         return Greeting(
-            once_listed=list(self._endpoints.removed_ids),
+            delisted_engines=list(self._endpoints.removed_ids),
             manual_drains=self._endpoints.manual_drains,
-            recalled=recalled,
+            manual_drain_ends=recalled,
             teams=self._contracts.export_state() if self._contracts else {},
         )
 
@@ -89,7 +89,7 @@
         memory_mb = round(self._memory_mb(), 1)
         return ResourceUsage(memory_mb, len(self._frontend.clients), self._upstream.pool.count)
 
-    def later_team_budgets(self) -> JsonObject:
+    def changed_team_budgets(self) -> JsonObject:
         """Return how the teams' budgets changed since the greeting; empty without contracts."""
         return self._contracts.export_later_counts() if self._contracts else {}
 
@@ -134,12 +134,12 @@
         greeting = handover.greeting
         for event in handover.watch_events:
             self._endpoints.apply(event)
-        for engine in [*greeting.once_listed, *greeting.manual_drains]:
+        for engine in [*greeting.delisted_engines, *greeting.manual_drains]:
             self._endpoints.remember_removed(engine)
         for engine, since_unix_ms in greeting.manual_drains.items():
             self._endpoints.start_manual_drain(engine, since_unix_ms)
         # Guards engines that warm up: the discovery service may not know when they started.
-        for engine, unix_ms in greeting.recalled.items():
+        for engine, unix_ms in greeting.manual_drain_ends.items():
             self._endpoints.restore_recall(engine, unix_ms)
         if greeting.teams:
             self.apply_team_budgets(greeting.teams)
--- a/umberusher/hot_restart/interfaces.py
+++ b/umberusher/hot_restart/interfaces.py
@@ -86,7 +86,7 @@
     def resource_usage(self) -> ResourceUsage:
         """Return what this process holds of the joint limits."""
 
-    def later_team_budgets(self) -> JsonObject:
+    def changed_team_budgets(self) -> JsonObject:
         """Return how the teams' budgets have changed since the greeting; empty where not."""
 
     def apply_watch_event(self, event: WatchEvent) -> None:
--- a/umberusher/hot_restart/messages.py
+++ b/umberusher/hot_restart/messages.py
@@ -206,13 +206,13 @@
 class Greeting(NamedTuple):
     """``hello``: what a successor is given besides the endpoint list."""
 
-    once_listed: list[str]
+    delisted_engines: list[str]
     """Engines that are known and not listed any more."""
 
     manual_drains: dict[str, float]
     """Since when engines are drained by hand, Unix time in milliseconds."""
 
-    recalled: dict[str, float]
+    manual_drain_ends: dict[str, float]
     """When engines were called back from a manual drain, Unix time in milliseconds."""
 
     teams: JsonObject
@@ -224,9 +224,9 @@
     def to_json(self) -> JsonObject:
         """Return the fields, all but the endpoint list."""
         return {
-            "seen": self.once_listed,
+            "seen": self.delisted_engines,
             "banned": self.manual_drains,
-            "fresh": self.recalled,
+            "fresh": self.manual_drain_ends,
             "teams": self.teams,
             "reads": self.version,
         }
@@ -240,9 +240,9 @@
         """
         teams = fields.get("teams")
         return cls(
-            once_listed=[str(engine) for engine in fields["seen"]],
+            delisted_engines=[str(engine) for engine in fields["seen"]],
             manual_drains=_times_by_engine(fields["banned"]),
-            recalled=_times_by_engine(fields["fresh"]),
+            manual_drain_ends=_times_by_engine(fields["fresh"]),
             teams=teams if isinstance(teams, dict) else {},
             version=announced_version(fields),
         )
--- a/umberusher/hot_restart/peer.py
+++ b/umberusher/hot_restart/peer.py
@@ -194,9 +194,9 @@
         self.is_ready = True
         log.info("hot_restart_successor_ready")
         # This process went on admitting requests after the greeting.
-        later_budgets = self._host.later_team_budgets()
-        if later_budgets:
-            self.send(TeamBudgets(later_budgets))
+        changed_budgets = self._host.changed_team_budgets()
+        if changed_budgets:
+            self.send(TeamBudgets(changed_budgets))
         self._observer.on_successor_ready()
 
     def _on_closed(self, reason: str) -> None:
