--- a/tests/net/test_cost.py
+++ b/tests/net/test_cost.py
@@ -15,7 +15,7 @@
 from umberusher.net import connection
 from umberusher.net.connection import RawMessage, State
 from umberusher.net.loop import Loop
-from umberusher.net.ring import RESTING_CAPACITY_BYTES
+from umberusher.net.ring import IDLE_CAPACITY_BYTES
 from umberusher.protocol import engine as codec
 from umberusher.protocol import thrift
 
@@ -148,7 +148,7 @@
     for number in range(3):
         conn.send(RawMessage(bytes([number]) * 5_000))
     assert (
-        conn.outbound.allocated_bytes == RESTING_CAPACITY_BYTES
+        conn.outbound.allocated_bytes == IDLE_CAPACITY_BYTES
         and conn.is_flushed
         and conn.sent_bytes == 15_000
     )
@@ -161,7 +161,7 @@
     wanted = [bytes([number]) * (700_000 if number == 1 else 3_000) for number in range(4)]
     for data in wanted:
         conn.send(RawMessage(data))
-    assert not conn.is_flushed and conn.outbound.allocated_bytes > RESTING_CAPACITY_BYTES
+    assert not conn.is_flushed and conn.outbound.allocated_bytes > IDLE_CAPACITY_BYTES
     assert read(conn, peer) == b"".join(wanted) and conn.sent_bytes == sum(map(len, wanted))
 
 
@@ -196,5 +196,5 @@
     assert (
         first.connection.inbound.allocated_bytes
         == first.connection.outbound.allocated_bytes
-        == RESTING_CAPACITY_BYTES
+        == IDLE_CAPACITY_BYTES
     )
--- a/tests/net/test_ring.py
+++ b/tests/net/test_ring.py
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_ring_is_a_bounded_queue_of_bytes(seed):
-    chance, ring, model = random.Random(seed), RingBuffer(1000, first=16), b""
+    chance, ring, model = random.Random(seed), RingBuffer(1000, initial_capacity=16), b""
     for step in range(400):
         data = bytes([step % 256]) * chance.randrange(300)
         fits = len(model) + len(data) <= 1000
--- a/umberusher/frontend/client_connection.py
+++ b/umberusher/frontend/client_connection.py
@@ -339,7 +339,7 @@
         """Whether no call is open or deferred and no answer waits to be written."""
         return not self.open_calls and not self.deferred_calls and self.connection.is_flushed
 
-    def overdue(self, now_ms: float) -> CloseReason | None:
+    def timeout_reason(self, now_ms: float) -> CloseReason | None:
         """Return why the connection is to be closed by now, None where it is not."""
         inactive_ms = now_ms - self.active_ms
         if inactive_ms > RELEASE_BUFFERS_AFTER_MS:
@@ -402,7 +402,7 @@
         if disconnected is not None:
             self._disconnect(disconnected)
 
-    def handover_lost(self) -> None:
+    def on_successor_lost(self) -> None:
         """Treat the client as disconnected: the process that had its connection is gone."""
         self._on_closed("gone with the other process")
 
--- a/umberusher/frontend/thrift_frontend.py
+++ b/umberusher/frontend/thrift_frontend.py
@@ -35,7 +35,7 @@
 ACCEPT_BATCH_SIZE = 64
 LISTEN_BACKLOG = 1_024
 # Connections that a process may have though others of its broker hold all the rest.
-MIN_CLIENTS = 16
+MIN_CLIENTS_PER_PROCESS = 16
 
 
 class ThriftFrontend:
@@ -162,7 +162,10 @@
 
         Guards the descriptors that engines and discovery need.
         """
-        own_max = max(self.max_clients - self.peer_client_count, min(self.max_clients, MIN_CLIENTS))
+        own_max = max(
+            self.max_clients - self.peer_client_count,
+            min(self.max_clients, MIN_CLIENTS_PER_PROCESS),
+        )
         extra_closing = max(len(self.closing) - MAX_EXTRA_CLOSING, 0)
         if len(self.clients) + extra_closing >= own_max and not self._evict():
             log.warning("client_rejected reason=too_many_clients clients=%d", len(self.clients))
@@ -238,7 +241,7 @@
         """
         now_ms = self.now_ms()
         for client in list(self.clients):
-            reason = client.overdue(now_ms)
+            reason = client.timeout_reason(now_ms)
             if not reason:
                 continue
             if reason == CloseReason.IDLE and client.connection.has_unread_input():
--- a/umberusher/hot_restart/channel.py
+++ b/umberusher/hot_restart/channel.py
@@ -165,9 +165,9 @@
             if not packet:
                 self.close()
                 return
-            self._pass_on(packet, descriptors)
+            self._dispatch_packet(packet, descriptors)
 
-    def _pass_on(self, packet: bytes, descriptors: list[int]) -> None:
+    def _dispatch_packet(self, packet: bytes, descriptors: list[int]) -> None:
         """Pass one packet on; one that can't be used costs its own connection only."""
         if not descriptors:
             _log_dropped(ValueError("no descriptor"))
--- a/umberusher/hot_restart/client_transfer.py
+++ b/umberusher/hot_restart/client_transfer.py
@@ -108,7 +108,7 @@
         else:
             # Their connections are gone with the other process.
             for client in self._clients.values():
-                client.handover_lost()
+                client.on_successor_lost()
         self.close_channel()
 
     def close_channel(self) -> None:
--- a/umberusher/hot_restart/hot_restart.py
+++ b/umberusher/hot_restart/hot_restart.py
@@ -112,7 +112,7 @@
     def join(self, handover: HandoverState) -> None:
         """Keep the link to the process that has served until now."""
         peer = self._add_peer(handover.link, handover.channel, is_successor=False)
-        peer.link.receive(handover.received_after)
+        peer.link.receive(handover.data_after_greeting)
         peer.version = max(peer.version, handover.greeting.version)
         peer.send(VersionAnnouncement(MESSAGE_VERSION))
 
--- a/umberusher/hot_restart/interfaces.py
+++ b/umberusher/hot_restart/interfaces.py
@@ -54,7 +54,7 @@
     def fail_handed_over_calls(self) -> None:
         """Fail the calls that the other process held; it has ended."""
 
-    def handover_lost(self) -> None:
+    def on_successor_lost(self) -> None:
         """Note that the process with the connection has ended: the client is gone."""
 
 
--- a/umberusher/hot_restart/successor.py
+++ b/umberusher/hot_restart/successor.py
@@ -60,7 +60,7 @@
     listener: socket.socket
     channel: socket.socket | None
     link: socket.socket
-    received_after: bytes
+    data_after_greeting: bytes
     watch_events: list[WatchEvent]
     greeting: Greeting
 
@@ -111,8 +111,8 @@
     if not descriptors:
         raise ValueError("no listener was passed")
     try:
-        text, received_after = _receive_greeting(link, clock, started_at, max_bytes)
-        return _handover_state(link, descriptors, text, received_after)
+        text, data_after_greeting = _receive_greeting(link, clock, started_at, max_bytes)
+        return _handover_state(link, descriptors, text, data_after_greeting)
     except Exception:
         for descriptor in descriptors:
             os.close(descriptor)
@@ -142,13 +142,13 @@
         received += data
         if len(received) > max_bytes:
             raise ValueError(f"a greeting of over {max_bytes:,} bytes")
-    received_after = bytes(received[end + 1 :])
+    data_after_greeting = bytes(received[end + 1 :])
     del received[end:]
-    return received.decode(), received_after
+    return received.decode(), data_after_greeting
 
 
 def _handover_state(
-    link: socket.socket, descriptors: list[int], text: str, received_after: bytes
+    link: socket.socket, descriptors: list[int], text: str, data_after_greeting: bytes
 ) -> HandoverState:
     """Return the handover by its greeting; sockets are made last, so that no error leaves one."""
     fields: dict[str, Any] = read_document(text)["hello"]
@@ -156,4 +156,4 @@
     greeting = Greeting.from_json(fields)
     listener = socket.socket(fileno=descriptors[0])
     channel = socket.socket(fileno=descriptors[1]) if len(descriptors) > 1 else None
-    return HandoverState(listener, channel, link, received_after, events, greeting)
+    return HandoverState(listener, channel, link, data_after_greeting, events, greeting)
--- a/umberusher/net/loop.py
+++ b/umberusher/net/loop.py
@@ -24,13 +24,13 @@
 # Thousands of timers due together must not keep ready descriptors waiting.
 MAX_TIMERS_PER_STEP = 64
 # A poll that took this long had to wait: nothing was ready when it began.
-WAITED_S = 0.001
+MIN_BLOCKING_POLL_S = 0.001
 # By which a step may be late before the loop holds that the process was stopped.
-STALL_S = 0.05
+STALL_THRESHOLD_S = 0.05
 # What arrived during a stall is read within this time.
 MAX_CATCH_UP_S = 0.5
 # Cancelled timers that are left in the heap without clearing it.
-MAX_IDLE_CANCELLED_TIMERS = 64
+COMPACTION_THRESHOLD_TIMERS = 64
 DEFAULT_MAX_WAIT_MS = 1000.0
 MS_PER_S = 1000.0
 
@@ -118,7 +118,7 @@
         Guards memory: nearly all timers are cancelled long before their time. O(1) amortised.
         """
         self._cancelled_count += 1
-        if self._cancelled_count <= MAX_IDLE_CANCELLED_TIMERS:
+        if self._cancelled_count <= COMPACTION_THRESHOLD_TIMERS:
             return
         if 2 * self._cancelled_count > len(self._timers):
             self._timers = [item for item in self._timers if item[2].call is not None]
@@ -212,13 +212,13 @@
             timeout_s = min(timeout_s, max(due_s - self.clock(), 0.0))
         began_s = self.clock()
         ready = self.epoll.poll(timeout_s, MAX_EVENTS_PER_STEP)
-        self._note_poll(began_s, timeout_s, bool(ready))
+        self._update_oldest_input_time(began_s, timeout_s, bool(ready))
         if self._prioritized:
             ready = self.priority_epoll.poll(0) + ready
         self._resume_ready(ready)
         self._run_due_timers()
 
-    def _note_poll(self, began_s: float, timeout_s: float, any_ready: bool) -> None:
+    def _update_oldest_input_time(self, began_s: float, timeout_s: float, any_ready: bool) -> None:
         """Keep since when input that is read in this step may have been here.
 
         Guards against a process that was stopped, or had no core: what came meanwhile lies in the
@@ -226,8 +226,8 @@
         just then, until nothing more waits.
         """
         now = self.clock()
-        stalled = now - self._last_poll_s > timeout_s + STALL_S
-        waited = now - began_s > WAITED_S
+        stalled = now - self._last_poll_s > timeout_s + STALL_THRESHOLD_S
+        waited = now - began_s > MIN_BLOCKING_POLL_S
         if stalled:
             self.oldest_input_at_s = self._last_poll_s
             self._catch_up_until_s = now + MAX_CATCH_UP_S
--- a/umberusher/net/ring.py
+++ b/umberusher/net/ring.py
@@ -7,7 +7,7 @@
 # What a ring takes up once it is used; an empty one that grew past this gives the rest back.
 INITIAL_CAPACITY_BYTES = 4096
 # What a ring takes up before it is used, and once it was released.
-RESTING_CAPACITY_BYTES = 64
+IDLE_CAPACITY_BYTES = 64
 
 
 class RingBuffer:
@@ -23,7 +23,7 @@
 
     __slots__ = ("_data", "_head", "_initial_capacity", "_size", "limit")
 
-    def __init__(self, limit: int, first: int = INITIAL_CAPACITY_BYTES) -> None:
+    def __init__(self, limit: int, initial_capacity: int = INITIAL_CAPACITY_BYTES) -> None:
         """Create an empty ring.
 
         Args:
@@ -31,8 +31,8 @@
             first: Its capacity once it is used.
         """
         self.limit = limit
-        self._initial_capacity = min(first, limit)
-        self._data = bytearray(min(RESTING_CAPACITY_BYTES, limit))
+        self._initial_capacity = min(initial_capacity, limit)
+        self._data = bytearray(min(IDLE_CAPACITY_BYTES, limit))
         self._head = 0
         self._size = 0
 
@@ -159,8 +159,8 @@
 
     def release(self) -> None:
         """Give back what an empty ring has allocated."""
-        if not self._size and len(self._data) > RESTING_CAPACITY_BYTES:
-            self._data = bytearray(min(RESTING_CAPACITY_BYTES, self.limit))
+        if not self._size and len(self._data) > IDLE_CAPACITY_BYTES:
+            self._data = bytearray(min(IDLE_CAPACITY_BYTES, self.limit))
             self._head = 0
 
     def take(self, size: int) -> bytes:
@@ -169,10 +169,10 @@
         self.discard(size)
         return data
 
-    def find(self, mark: bytes, limit: int) -> int:
+    def find(self, pattern: bytes, limit: int) -> int:
         """Return where ``mark`` first begins within the first ``limit`` bytes, or -1; O(limit)."""
         size = min(self._size, limit)
         if self._head + size <= len(self._data):
-            position = self._data.find(mark, self._head, self._head + size)
+            position = self._data.find(pattern, self._head, self._head + size)
             return position - self._head if position >= 0 else -1
-        return self.peek(size).find(mark)
+        return self.peek(size).find(pattern)
