--- a/umberusher/frontend/call_decoder.py
+++ b/umberusher/frontend/call_decoder.py
@@ -1,7 +1,7 @@
 """Decoding of a call's fields to a request, within what the settings allow.
 
-A call that the settings don't allow is rejected before the decisions see it. That guards the
-learned latency estimates against absurd numbers, and engines against calls that they can't use.
+A call that the settings don't allow is rejected before the decisions see it. This protects the
+learned latency estimates from absurd values, and engines from calls that they can't process.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 if TYPE_CHECKING:
     from umberusher.protocol.thrift import Execute
 
-# By which a call's time budget may exceed its class's deadline.
+# A call's time budget may exceed its class's deadline by this much.
 MAX_BUDGET_EXCESS_MS = 1_000.0
-# Times the class's deadline: a work estimate over this is none.
+# Largest accepted work estimate, as a multiple of the class's deadline.
 MAX_WORK_DEADLINE_MULTIPLE = 1_000.0
-# Times the largest engine's memory: a memory estimate over this is none.
+# Largest accepted memory estimate, as a multiple of the largest engine's memory.
 MAX_MEMORY_MULTIPLE = 10.0
-# Memory of the largest engine where the settings don't tell any.
+# Assumed memory of engine kinds for which the settings give none.
 DEFAULT_ENGINE_MEMORY_MB = 1e6
 MAX_ORDER_KEY_CHARACTERS = 256
 
 _REQUEST_ID = re.compile(r"[0-9a-fA-F]{16}")
-# What one field of an engine's line can hold: neither comma nor equals sign.
+# The key is one field of the line that an engine is sent: no comma and no equals sign.
 _IDEMPOTENCY_KEY = re.compile(r"[!-+\--<>-~]{0,256}")
 _NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,20})?([eE][+-]?[0-9]{1,2})?")
 
@@ -38,7 +38,7 @@
     """A call has a field that the settings don't allow, or lacks one.
 
     Attributes:
-        reason: What is wrong, as the client is told.
+        reason: What is wrong; the client is sent this text.
     """
 
     def __init__(self, reason: str) -> None:
@@ -83,11 +83,11 @@
 def decode_request(
     call: Execute, sink: ResponseSink, arrived_ms: float, schema: RequestSchema
 ) -> Request:
-    """Return the request that a call makes.
+    """Return the request of a call.
 
     Args:
         call: The call.
-        sink: What receives the final answer.
+        sink: Receives the final answer.
         arrived_ms: When the call arrived: its time budget counts from then.
         schema: What the settings allow.
 
--- a/umberusher/frontend/client_connection.py
+++ b/umberusher/frontend/client_connection.py
@@ -1,6 +1,6 @@
 """One client's connection with its open calls.
 
-Owns what is open on the connection and which calls wait. A client that reads no answers is put
+Keeps the connection's open and deferred calls. A client that reads no answers is put
 under write backpressure: its next calls are deferred, while its input is still read, so that
 cancellations and disconnects are noticed.
 """
@@ -23,35 +23,35 @@
 from umberusher.pipeline.request import Request
 from umberusher.protocol import thrift
 
-if TYPE_CHECKING:  # Contracts come into memory only where they are used.
+if TYPE_CHECKING:  # Contracts are loaded into memory only if they are used.
     from umberusher.teams.identity import Origin
 
 log = logging.getLogger(__name__)
 
-# Open calls of one connection: what clients promise.
+# Limit of open calls of one connection, which clients promise to keep.
 MAX_OPEN_CALLS = 32
-# What one served call adds to the retry credit: the call itself, and one that fails.
+# What a served call adds to the retry credit: one for itself, and one for a call that fails.
 RETRY_CREDIT_PER_RESULT = 2
-# Answers that a client has not read, before its next calls are deferred: twice what may be open.
+# A client with this many unread answers has its next calls deferred: twice the open calls' limit.
 MAX_UNWRITTEN_ANSWERS = 64
-# Bytes of an unfinished call from which on it counts as a large one.
+# An incomplete call with more than this many received bytes counts as large.
 LARGE_CALL_BYTES = 1 << 15
-# From a connection's start to its first byte, and without a further byte of a call that has begun.
+# Limit of the time until a connection's first byte, and between the bytes of an incomplete call.
 MAX_SILENCE_MS = 2_000.0
-# From a connection's start to its first complete call.
+# Limit of the time from a connection's start to its first complete call.
 MAX_FIRST_CALL_MS = 2_700.0
-# From the first byte of any other call to its last.
+# Limit of the time from the first byte of any other call to its last.
 MAX_CALL_MS = 6_000.0
-# Without a call; clients close after 4 s.
+# Limit of the time without a call; clients close idle connections after 4 s.
 MAX_IDLE_MS = 10_000.0
-# With answers that the client doesn't read.
+# Limit of the time during which the client reads none of its answers.
 MAX_UNREAD_ANSWERS_MS = 30_000.0
-# A connection that was inactive for this long gives its buffers back.
+# A connection releases its buffers after being inactive for this long.
 RELEASE_BUFFERS_AFTER_MS = 1_000.0
 
 
 class CloseReason(StrEnum):
-    """Why a connection is closed by the broker."""
+    """Why the broker closes a connection."""
 
     MALFORMED = "malformed"
     TOO_MANY_LARGE_CALLS = "no room"
@@ -62,19 +62,19 @@
 
 
 class ClientOwner(Protocol):
-    """The frontend as a client's connection sees it.
+    """The part of the frontend that a client's connection uses.
 
     Attributes:
         loop: The event loop.
-        admission: What takes decoded requests.
+        admission: Admits decoded requests.
         schema: What calls may contain.
         now_ms: The broker's clock.
-        arrived_ms: Returns since when the input that is read now may have been here.
-        accepts_clients: Returns whether this broker is good for clients.
-        origin_of_port: Returns what is known of connections to a port; None where nobody asks.
+        arrived_ms: Returns the earliest time at which input that is read now may have arrived.
+        accepts_clients: Returns whether clients should use this broker.
+        origin_of_port: Returns the origin of connections to a port; None if origins are not used.
         max_frame_bytes: Limit of one frame.
-        max_large_calls: Limit of large unfinished calls of all clients.
-        large_calls: The clients with one.
+        max_large_calls: Limit of large incomplete calls of all clients.
+        large_calls: The clients with a large incomplete call.
     """
 
     loop: Loop
@@ -93,7 +93,7 @@
 
 
 class AnswerMessage(RawMessage):
-    """An answer whose client is told when the last byte is with the kernel."""
+    """An answer that calls a function once the kernel has accepted its last byte."""
 
     __slots__ = ("on_written",)
 
@@ -103,7 +103,7 @@
         self.on_written = on_written
 
     def written(self) -> None:
-        """Go on with what waited for the answer to be written."""
+        """Resume what waited for the answer to be written."""
         self.on_written()
 
 
@@ -112,17 +112,17 @@
 
     Attributes:
         connection: The transport.
-        open_calls: By sequence id, the calls that are owed an answer.
-        deferred_calls: Calls that wait under write backpressure; None where none ever did, so that
-            an idle client costs no queue.
-        forward_answer: Writes answers by way of the process that was handed the connection; None
+        open_calls: By sequence id, the calls that must still be answered.
+        deferred_calls: Calls that wait under write backpressure; None until the first is deferred,
+            so that an idle client holds no queue.
+        forward_answer: Sends answers through the process that has received the connection; None
             while the connection is here.
         active_ms: When the client was last active.
-        has_called: Whether a complete call has come.
-        incomplete_since_ms: Since when a call, or the first one, is waited for.
-        retry_credit: Calls that count for the retry budget before they are served. Guards the
-            budget against clients that send hundreds of calls that no engine serves.
-        origin: Where the connection came to, if anyone asks.
+        has_called: Whether a complete call has arrived.
+        incomplete_since_ms: Since when the first call, or the rest of a call, is awaited.
+        retry_credit: How many further calls count for the retry budget before they are served.
+            Protects the budget from clients that send hundreds of calls that no engine serves.
+        origin: The origin of the connection, by its port; None if origins are not used.
     """
 
     __slots__ = (
@@ -140,7 +140,7 @@
     )
 
     def __init__(self, frontend: ClientOwner, connection: Connection) -> None:
-        """Take a connection that has just been accepted."""
+        """Serve a connection that has just been accepted."""
         self._frontend = frontend
         self._resume_planned = False
         self.connection = connection
@@ -161,7 +161,7 @@
 
     @property
     def write_blocked(self) -> bool:
-        """Whether the client reads no answers: its next calls are deferred."""
+        """Whether the client leaves so many answers unread that its next calls are deferred."""
         return len(self.connection.outbox) >= MAX_UNWRITTEN_ANSWERS
 
     def _process_input(self) -> None:
@@ -191,7 +191,7 @@
         self.incomplete_since_ms = None
         self._frontend.large_calls.discard(self)
         if isinstance(frame, thrift.Malformed):
-            # The stream has lost its frames: nothing after this can be read.
+            # The bounds of the frames are lost: nothing after this can be decoded.
             self._close_malformed(frame.reason)
             return
         call = thrift.decode_call(frame)
@@ -216,10 +216,10 @@
             self.deferred_calls.withdraw(seqid)
 
     def _end_open_calls(self) -> None:
-        """Answer all open calls now, for a cancellation of them could not be noticed any more.
+        """End all open calls now, since a cancellation of them could no longer be read.
 
-        Guards engines against work for a client who has left. Clients that keep to what they
-        promise never come here.
+        Prevents engines from working for a client that has disconnected. It doesn't happen to
+        clients that keep the limit of open calls.
         """
         requests = [call for call in self.open_calls.values() if isinstance(call, Request)]
         if requests:
@@ -227,7 +227,7 @@
             self._frontend.admission.end_all(requests)
 
     def _note_incomplete_call(self) -> None:
-        """Keep since when an incomplete call waits, and bound the number of large ones."""
+        """Record since when a call is incomplete, and bound the number of large ones."""
         size = len(self.connection.inbound)
         if size and self.incomplete_since_ms is None:
             self.incomplete_since_ms = self.active_ms
@@ -235,7 +235,7 @@
         if size <= LARGE_CALL_BYTES or self in large_calls:
             return
         if len(large_calls) >= self._frontend.max_large_calls:
-            # Guards memory: many endless calls at once would fill it.
+            # Bounds memory: many calls without an end at once would exhaust it.
             log.warning("client_closed reason=too_many_large_calls")
             self.connection.close_gracefully(CloseReason.TOO_MANY_LARGE_CALLS)
             return
@@ -258,11 +258,11 @@
     def _execute(self, call: thrift.Execute, arrived_ms: float) -> None:
         seqid = call.seqid
         if seqid in self.open_calls:
-            # Two answers under one sequence id: the client could not tell them apart.
+            # The client could not tell two answers with the same sequence id apart.
             self._close_malformed(f"sequence id {seqid} is open already")
             return
         if len(self.open_calls) >= MAX_OPEN_CALLS:
-            # Guards against floods: one client's hundreds would be queued before everyone else's.
+            # A flood of one client's calls would be queued ahead of all other clients' calls.
             log.warning("call_rejected reason=too_many_open_calls limit=%d", MAX_OPEN_CALLS)
             self._count_final_answer(FinalOutcome.REJECTED, call)
             retry_after_ms = self._frontend.admission.retry_after_ms
@@ -284,7 +284,7 @@
         self._frontend.admission.admit(request)
 
     def _reject_invalid(self, seqid: int, name: str, kind: int, reason: str) -> None:
-        """Answer a call that makes no sense."""
+        """Answer an invalid call with an exception."""
         log.warning("call_rejected reason=%r", reason)
         self.write_answer(thrift.encode_application_exception(name, seqid, kind, reason))
 
@@ -301,7 +301,7 @@
     # -- Answers
 
     def answer(self, seqid: int, data: bytes) -> None:
-        """Write the answer of an open call; do nothing where the call is not open any more."""
+        """Write the answer of an open call; do nothing if the call is no longer open."""
         if self.open_calls.pop(seqid, None) is None:
             return
         self.active_ms = self._frontend.now_ms()
@@ -311,7 +311,7 @@
             self.connection.send(AnswerMessage(data, self._resume_deferred))
 
     def write_answer(self, data: bytes) -> None:
-        """Write an answer to what never was an open call."""
+        """Write an answer to a call that never became an open call."""
         self.connection.send(AnswerMessage(data, self._resume_deferred))
 
     def earn_retry_credit(self) -> None:
@@ -323,7 +323,7 @@
         self.connection.read_pending()
 
     def _resume_deferred(self) -> None:
-        """Plan the deferred calls once an answer is written: no event will tell of them."""
+        """Schedule the deferred calls once an answer is written: the loop reports no event."""
         if self.deferred_calls and not self.write_blocked and not self._resume_planned:
             self._resume_planned = True
             self._frontend.loop.call_later(0, self._process_deferred)
@@ -340,7 +340,7 @@
         return not self.open_calls and not self.deferred_calls and self.connection.is_flushed
 
     def timeout_reason(self, now_ms: float) -> CloseReason | None:
-        """Return why the connection is to be closed by now, None where it is not."""
+        """Return why the connection is to be closed; None if no time limit has passed."""
         inactive_ms = now_ms - self.active_ms
         if inactive_ms > RELEASE_BUFFERS_AFTER_MS:
             self.connection.release_buffers()
@@ -366,7 +366,7 @@
 
     @property
     def can_be_handed_over(self) -> bool:
-        """Whether no byte is in flight here: another process can read on from this moment."""
+        """Whether no byte is in flight here, so that another process can continue reading."""
         return (
             self.connection.state is State.OPEN
             and self.connection.is_flushed
@@ -375,7 +375,7 @@
         )
 
     def hand_over(self, forward_answer: Callable[[int, bytes], None]) -> None:
-        """Let go of a connection that another process has now, and answer by way of that one.
+        """Release a connection that another process has now, and send answers through it.
 
         Args:
             forward_answer: Sends a sequence id and its encoded answer to the other process.
@@ -385,11 +385,11 @@
         self._frontend.remove_client(self)
 
     def adopt_calls(self, seqids: list[int], on_disconnect: Callable[[int], None]) -> None:
-        """Note the calls that the process before answers.
+        """Record the open calls that the predecessor answers.
 
         Args:
             seqids: Their sequence ids.
-            on_disconnect: Tells that process of a call for which the client waits no more.
+            on_disconnect: Notifies the predecessor that the client no longer waits for a call.
         """
         self.has_called = True
         self.incomplete_since_ms = None
@@ -397,17 +397,17 @@
             self.open_calls[seqid] = HandedOverCall(seqid, on_disconnect)
 
     def disconnect_call(self, seqid: int) -> None:
-        """End a call for which the client waits no more, as the other process tells."""
+        """End a call after the successor has reported that its client no longer waits."""
         disconnected = self.open_calls.pop(seqid, None)
         if disconnected is not None:
             self._disconnect(disconnected)
 
     def on_successor_lost(self) -> None:
-        """Treat the client as disconnected: the process that had its connection is gone."""
-        self._on_closed("gone with the other process")
+        """Treat the client as disconnected: the successor with its connection has ended."""
+        self._on_closed("the successor with the connection has ended")
 
     def fail_handed_over_calls(self) -> None:
-        """Answer that the handed-over calls failed: the process that had them is gone."""
+        """Fail the handed-over calls: the predecessor that would answer them has ended."""
         handed_over = [
             seqid for seqid, call in self.open_calls.items() if isinstance(call, HandedOverCall)
         ]
--- a/umberusher/frontend/deferred_calls.py
+++ b/umberusher/frontend/deferred_calls.py
@@ -1,4 +1,4 @@
-"""The calls of a client that wait until it has read answers."""
+"""The calls of a client that are deferred until it reads its answers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 Call = thrift.Execute | thrift.Check | thrift.Malformed
 
-# Calls of one client that may be deferred, before it is read no more and its open calls end.
+# At this number of deferred calls, a client is no longer read and its open calls are ended.
 MAX_DEFERRED_CALLS = 64
 
 
@@ -40,7 +40,7 @@
         return iter(self._calls)
 
     def is_full(self, max_bytes: int) -> bool:
-        """Return whether no further call is taken, for their number or their statements' size."""
+        """Return whether the limit of calls, or of their statements' size, is reached."""
         return len(self._calls) >= MAX_DEFERRED_CALLS or self._statement_bytes >= max_bytes
 
     def append(self, call: Call, arrived_ms: float) -> None:
--- a/umberusher/frontend/handed_over_call.py
+++ b/umberusher/frontend/handed_over_call.py
@@ -6,7 +6,7 @@
 
 
 class HandedOverCall:
-    """An open call on a connection that was adopted from the process before."""
+    """An open call on a connection that was adopted from the predecessor."""
 
     __slots__ = ("_on_disconnect", "_seqid")
 
@@ -15,11 +15,11 @@
 
         Args:
             seqid: Its sequence id.
-            on_disconnect: Tells the process before that the client waits no more for that call.
+            on_disconnect: Notifies the predecessor that the client no longer waits for the call.
         """
         self._seqid = seqid
         self._on_disconnect = on_disconnect
 
     def disconnect(self) -> None:
-        """Tell the process before that the client waits no more for the call."""
+        """Notify the predecessor that the client no longer waits for the call."""
         self._on_disconnect(self._seqid)
--- a/umberusher/frontend/response_sink.py
+++ b/umberusher/frontend/response_sink.py
@@ -8,7 +8,7 @@
 
 
 class AnsweringClient(Protocol):
-    """The client connection that a call came on."""
+    """The client connection on which a call arrived."""
 
     def answer(self, seqid: int, data: bytes) -> None:
         """Write the encoded answer of the open call ``seqid``."""
--- a/umberusher/frontend/thrift_frontend.py
+++ b/umberusher/frontend/thrift_frontend.py
@@ -16,25 +16,25 @@
 from umberusher.pipeline.admission import RequestAdmission
 from umberusher.protocol import thrift
 
-if TYPE_CHECKING:  # Contracts come into memory only where they are used.
+if TYPE_CHECKING:  # Contracts are loaded into memory only if they are used.
     from umberusher.teams.identity import Origin
 
 log = logging.getLogger(__name__)
 
 BYTES_PER_MB = 1e6
-# Of the memory: the largest frame.
+# Limit of one frame, as a fraction of the memory limit.
 MAX_FRAME_MEMORY_FRACTION = 1 / 256
-# Of the memory: all large unfinished calls together.
+# Limit of all large incomplete calls together, as a fraction of the memory limit.
 LARGE_CALLS_MEMORY_FRACTION = 1 / 8
 FRAME_HEADER_BYTES = 4
 # An answer has at most 48,000 bytes of rows.
 OUTBOUND_BYTES = 1 << 20
 # Connections that may be closing beyond the clients' limit; descriptors are reserved for them.
 MAX_EXTRA_CLOSING = 16
-# Connections accepted in one go, so that open ones get their turn.
+# Limit of connections accepted at once, so that open ones are served in between.
 ACCEPT_BATCH_SIZE = 64
 LISTEN_BACKLOG = 1_024
-# Connections that a process may have though others of its broker hold all the rest.
+# Connections that a process may always have, even if the broker's other processes hold the rest.
 MIN_CLIENTS_PER_PROCESS = 16
 
 
@@ -42,11 +42,12 @@
     """The listeners and their clients.
 
     Attributes:
-        listener: The listener that a successor is handed; None before and after its time.
-        additional_listeners: Those at further addresses.
-        clients: In the order in which they came, so that sweeps are the same each time.
-        closing: Connections that owe nothing and are read out, the oldest first.
-        large_calls: Clients with a large unfinished call.
+        listener: The listener that is handed to a successor; None before it opens and after it
+            closes.
+        additional_listeners: Listeners at further addresses.
+        clients: In the order in which they connected, so that sweeps are deterministic.
+        closing: Connections in state CLOSING, the oldest first.
+        large_calls: Clients with a large incomplete call.
         peer_client_count: Clients of other processes of this broker.
         max_clients: Limit of clients of all processes of this broker together.
     """
@@ -67,15 +68,16 @@
 
         Args:
             loop: The event loop.
-            admission: What takes decoded requests.
+            admission: Admits decoded requests.
             now_ms: The broker's clock.
-            arrived_ms: Returns since when the input that is read now may have been here: a
-                request's time starts then.
-            accepts_clients: Returns whether this broker is good for clients.
+            arrived_ms: Returns the earliest time at which input that is read now may have
+                arrived: a request's time budget starts then.
+            accepts_clients: Returns whether clients should use this broker.
             max_clients: Limit of connections.
             schema: What calls may contain.
             memory_mb: The memory limit, by which frames are bounded.
-            origin_of_port: Returns what is known of connections to a port; None where nobody asks.
+            origin_of_port: Returns the origin of connections to a port; None if origins are not
+                used.
         """
         self.loop = loop
         self.admission = admission
@@ -102,7 +104,7 @@
         """Open the listener and accept clients.
 
         Raises:
-            OSError: The address can't be had.
+            OSError: The address can't be bound.
         """
         self.adopt_listener(_open_socket(address))
         self.set_paused(False)
@@ -110,10 +112,10 @@
     def listen_additionally(self, address: tuple[str, int]) -> tuple[str, int]:
         """Open a listener at a further address and return its host and port.
 
-        It is not handed over: a successor opens it beside this one.
+        It is not handed over: a successor opens its own listener at the same address.
 
         Raises:
-            OSError: The address can't be had.
+            OSError: The address can't be bound.
         """
         sock = _open_socket(address)
         listener = self._listener_of(sock)
@@ -123,7 +125,7 @@
         return host, port
 
     def adopt_listener(self, sock: socket.socket) -> None:
-        """Take a listening socket that is open already; nothing is accepted from it yet."""
+        """Adopt a listening socket that is open already; nothing is accepted from it yet."""
         self.listener = self._listener_of(sock)
 
     def _listener_of(self, sock: socket.socket) -> Listener:
@@ -140,14 +142,14 @@
         return self.listener is None or self.listener.paused
 
     def set_paused(self, paused: bool) -> None:
-        """Accept no clients for now, or go on."""
+        """Pause or resume accepting clients."""
         for listener in self._listeners:
             listener.set_paused(paused)
 
     def stop_listening(self) -> None:
-        """Accept the connections that are with the kernel, then close the listeners.
+        """Accept the connections that are pending in the kernel, then close the listeners.
 
-        A listener resets the connections that it holds when it closes.
+        Closing a listener resets the connections that are still pending.
         """
         listeners = self._listeners
         self.listener = None
@@ -158,9 +160,9 @@
     # -- Clients
 
     def _accept_client(self, sock: socket.socket) -> None:
-        """Take an accepted socket, or close it where descriptors are short.
+        """Serve an accepted socket, or close it if descriptors are short.
 
-        Guards the descriptors that engines and discovery need.
+        Keeps free the descriptors that engines and discovery need.
         """
         own_max = max(
             self.max_clients - self.peer_client_count,
@@ -184,12 +186,12 @@
     def adopt_client(
         self, sock: socket.socket, seqids: list[int], on_disconnect: Callable[[int], None]
     ) -> ClientConnection:
-        """Read on a connection of another process, which answers its open calls itself.
+        """Adopt a connection of another process, which answers the open calls itself.
 
         Args:
             sock: The connection.
             seqids: The sequence ids of the open calls.
-            on_disconnect: Tells the other process of a call for which the client waits no more.
+            on_disconnect: Notifies the other process that the client no longer waits for a call.
         """
         client = self._add_client(sock)
         client.adopt_calls(seqids, on_disconnect)
@@ -210,9 +212,9 @@
     def _evict(self) -> bool:
         """Free a descriptor; return False where no client can be evicted.
 
-        A connection that is closing goes first. Else the client without open calls that has been
-        inactive for longest, first of those with an incomplete call. A client whose call lies
-        with the kernel is not inactive.
+        A connection that is closing is closed first. Otherwise the client without open calls that
+        has been inactive for longest is evicted, one with an incomplete call before all others. A
+        client whose call is unread in the kernel is not inactive.
         """
         if len(self.closing) <= MAX_EXTRA_CLOSING:
             client = self._find_evictable()
@@ -236,8 +238,8 @@
     def sweep(self) -> None:
         """Close the connections whose time limits have passed.
 
-        Guards against clients that connect and are silent, or begin a call and don't finish it:
-        they are owed an end within 3 s, and others want their connections.
+        Connections of clients that send nothing, or begin a call and don't finish it, must be
+        closed within 3 s: other clients need them.
         """
         now_ms = self.now_ms()
         for client in list(self.clients):
@@ -251,10 +253,10 @@
     # -- Shutdown
 
     def drain_idle_connections(self) -> None:
-        """Close each connection that carries nothing; its client connects elsewhere.
+        """Close each connection without a byte in flight; its client connects elsewhere.
 
-        Guards calls that are with the kernel already; one that crosses the close is retried by its
-        client.
+        A call that is already in the kernel keeps its connection open; one that crosses the close
+        is retried by its client.
         """
         idle_clients = [
             client
@@ -264,7 +266,7 @@
             and client.connection.has_nothing_in_flight()
         ]
         for client in idle_clients:
-            client.connection.close_gracefully("the broker ends")
+            client.connection.close_gracefully("the broker shuts down")
 
     @property
     def is_drained(self) -> bool:
@@ -279,14 +281,14 @@
         self.additional_listeners = []
         transports = [client.connection for client in self.clients]
         for transport in [*transports, *self.closing]:
-            transport.close("the broker ends")
+            transport.close("the broker shuts down")
 
 
 def _open_socket(address: tuple[str, int]) -> socket.socket:
-    """Return a listening socket; raise OSError where the address can't be had."""
+    """Return a listening socket; raise OSError if the address can't be bound."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # The way out for a restart that can't reach the process before.
+    # A restarted broker that can't reach its predecessor can bind the address all the same.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     try:
         sock.bind(address)
--- a/umberusher/hot_restart/channel.py
+++ b/umberusher/hot_restart/channel.py
@@ -1,4 +1,4 @@
-"""The two Unix sockets between the processes of one broker: lines of messages, and descriptors."""
+"""The two Unix sockets between the processes of one broker, for messages and for descriptors."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 """Bytes that are read from the link at once."""
 
 MAX_QUEUED_MESSAGES = 1_024
-"""Messages that wait for a slow peer before it is sent the whole list in place of changes."""
+"""A slow peer with more pending messages is sent the whole endpoint list instead of changes."""
 
 MAX_PACKET_BYTES = 4_096
 """Longest packet that accompanies a descriptor."""
@@ -54,12 +54,12 @@
 
     @property
     def is_flushed(self) -> bool:
-        """Whether the kernel has all that was sent."""
+        """Whether the kernel has accepted all messages that were sent."""
         return self.connection.is_flushed
 
     @property
     def is_congested(self) -> bool:
-        """Whether so many messages wait that the peer should get the whole list instead."""
+        """Whether so many messages are pending that the peer should be sent the whole list."""
         return len(self.connection.outbox) > MAX_QUEUED_MESSAGES
 
     def send(self, line: bytes) -> None:
@@ -72,7 +72,7 @@
             self.connection.send(RawMessage(piece))
 
     def receive(self, data: bytes) -> None:
-        """Pass each complete line on; keep an incomplete one until its end arrives."""
+        """Process each complete line; keep an incomplete one until its end arrives."""
         begin = 0
         while self.connection.state is State.OPEN:
             end = data.find(b"\n", begin)
@@ -85,18 +85,18 @@
             self._on_line(line)
         self._partial_line += data[begin:]
         if len(self._partial_line) > self.max_message_bytes:
-            self.connection.close("a message without an end")
+            self.connection.close("a message exceeds the size limit")
 
     def _read(self) -> None:
         inbound = self.connection.inbound
         self.receive(inbound.take(len(inbound)))
 
     def close(self, reason: str) -> None:
-        """Close the link and tell its owner."""
+        """Close the link and notify its owner."""
         self.connection.close(reason)
 
     def close_silently(self, reason: str) -> None:
-        """Close the link; its owner is not told, since it closes the link itself."""
+        """Close the link without notifying its owner, which closes the link itself."""
         self.connection.on_closed = _ignore
         self.connection.close(reason)
 
@@ -121,9 +121,9 @@
         Args:
             loop: The event loop.
             sock: This process's end.
-            on_packet: Takes each packet with its socket; raises ValueError, KeyError or TypeError
-                where it can't read the packet, and OSError where the socket is of no use. None at
-                the end that only sends.
+            on_packet: Called with each packet and its socket; raises ValueError, KeyError or
+                TypeError if the packet is malformed, and OSError if the socket is unusable. None
+                at the end that only sends.
         """
         sock.setblocking(False)
         self._loop = loop
@@ -153,7 +153,7 @@
             self.receive_pending()
 
     def receive_pending(self) -> None:
-        """Pass on all packets that have arrived."""
+        """Dispatch all packets that have arrived."""
         while self._sock is not None:
             try:
                 packet, descriptors, _, _ = socket.recv_fds(self._sock, MAX_PACKET_BYTES, 1)
@@ -168,9 +168,9 @@
             self._dispatch_packet(packet, descriptors)
 
     def _dispatch_packet(self, packet: bytes, descriptors: list[int]) -> None:
-        """Pass one packet on; one that can't be used costs its own connection only."""
+        """Pass one packet to the owner; an unusable one loses only its own connection."""
         if not descriptors:
-            _log_dropped(ValueError("no descriptor"))
+            _log_dropped(ValueError("the packet carries no descriptor"))
             return
         try:
             sock = socket.socket(fileno=descriptors[0])
@@ -186,7 +186,7 @@
             _log_dropped(error)
 
     def close(self) -> None:
-        """Give the socket back."""
+        """Close the socket."""
         if self._sock is None:
             return
         sock = self._sock
--- a/umberusher/hot_restart/client_transfer.py
+++ b/umberusher/hot_restart/client_transfer.py
@@ -1,8 +1,7 @@
 """Transfer of clients' connections from a process that shuts down to its successor.
 
-The calls that are open on a connection stay with the process that admitted them; their answers are
-written by way of the process that has the connection, and their clients' disconnects travel the
-other way.
+The calls that are open on a connection stay with the process that admitted them. It sends their
+answers through the process that has the connection, which reports disconnects of the clients.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 class ClientTransfer:
-    """The connections that were handed over on one link, here or there.
+    """The connections that were handed over on one link, in the process at either end.
 
     Attributes:
         channel: The channel that carries connections; None where the peer passed none.
@@ -94,24 +93,24 @@
             client.answer(answer.sequence_id, answer.frame)
 
     def on_disconnect(self, disconnect: CallDisconnect) -> None:
-        """End a call whose client has left the successor."""
+        """End a call whose client has disconnected from the successor."""
         client = self._clients.get(disconnect.client_number)
         if client is not None:
             client.disconnect_call(disconnect.sequence_id)
 
     def on_link_closed(self) -> None:
-        """End what can't go on without the other process."""
+        """End the calls that can't continue without the other process."""
         if self._adopt_client is not None:
             self._adopt_pending()
             for client in self._clients.values():
                 client.fail_handed_over_calls()
         else:
-            # Their connections are gone with the other process.
+            # The clients' connections have ended with the successor.
             for client in self._clients.values():
                 client.on_successor_lost()
         self.close_channel()
 
     def close_channel(self) -> None:
-        """Give the channel back."""
+        """Close the channel."""
         if self.channel is not None:
             self.channel.close()
--- a/umberusher/hot_restart/hot_restart.py
+++ b/umberusher/hot_restart/hot_restart.py
@@ -2,8 +2,8 @@
 
 The predecessor sends one byte that carries the clients' listener and one end of a channel, then its
 greeting; after that each side sends messages (``messages.py``). While the predecessor shuts down,
-each packet of the channel carries one client's connection. Nothing that goes wrong here may cost
-service: every fault is one log line.
+each packet of the channel carries one client's connection. No fault here may interrupt service:
+each is reported as one log line.
 """
 
 from __future__ import annotations
@@ -62,11 +62,11 @@
     # -- In the predecessor
 
     def listen(self) -> None:
-        """Let a successor find this process."""
+        """Listen for a successor."""
         self.listener.open()
 
     def _greet(self, link: socket.socket) -> None:
-        """Hand the listener and the state to a successor that has connected."""
+        """Send the listener and the state to a successor that has connected."""
         listening_socket = self._host.listening_socket
         if listening_socket is None or len(self.peers) >= MAX_PEERS:
             link.close()
@@ -85,7 +85,7 @@
         peer.send_greeting(self._host.greeting())
 
     def on_successor_ready(self) -> None:
-        """Leave accepting to the successor; its own socket lies at the path now."""
+        """Stop accepting: the successor accepts, and its own socket is at the path now."""
         self.listener.close()
         self._host.stop_accepting()
 
@@ -93,7 +93,7 @@
         """Hand over each connection in which no byte is in flight.
 
         Returns:
-            Whether there is a successor that takes connections.
+            Whether there is a successor that accepts connections.
         """
         for peer in self.peers:
             if peer.is_ready and peer.transfer.is_possible:
@@ -110,14 +110,14 @@
     # -- In the successor
 
     def join(self, handover: HandoverState) -> None:
-        """Keep the link to the process that has served until now."""
+        """Add the link to the process that has served until now."""
         peer = self._add_peer(handover.link, handover.channel, is_successor=False)
         peer.link.receive(handover.data_after_greeting)
         peer.version = max(peer.version, handover.greeting.version)
         peer.send(VersionAnnouncement(MESSAGE_VERSION))
 
     def announce_ready(self) -> None:
-        """Tell the predecessor that this process accepts clients from now on."""
+        """Notify the predecessor that this process accepts clients from now on."""
         self.listen()
         for peer in list(self.peers):
             if not peer.is_successor:
@@ -136,7 +136,7 @@
         return peer
 
     def on_peer_closed(self, peer: Peer) -> None:
-        """Accept again where no successor is left, unless this process shuts down."""
+        """Resume accepting if no successor remains, unless this process shuts down."""
         self.peers.remove(peer)
         if peer.is_ready and not self.successor_is_ready and self._host.resume_accepting():
             self.listen()
@@ -152,9 +152,9 @@
         return all(peer.link.is_flushed and not peer.snapshot_is_due for peer in self.peers)
 
     def publish_manual_drain(self, engine: str, since_unix_ms: float | None) -> None:
-        """Send the beginning or the end of a manual drain to all peers but the one it came from.
+        """Send the beginning or the end of a manual drain to all peers but its source.
 
-        Guards against an echo: two changes that cross would go back and forth for ever.
+        Prevents an echo: two changes that cross would be sent back and forth for ever.
         """
         for peer in list(self.peers):
             if peer is not self.update_source:
@@ -163,19 +163,19 @@
     def publish_watch_event(self, event: WatchEvent, follows: int) -> None:
         """Send a watch event that was applied to the list of revision ``follows``.
 
-        Guards drains: a discovery service that has moved or fallen silent for one process may
-        still notify another.
+        Keeps drains effective: a discovery service that has moved or no longer responds to one
+        process may still notify another.
         """
         for peer in list(self.peers):
             if peer is not self.update_source:
                 peer.send_endpoint_change(event, follows)
 
     def usage_of_peers(self) -> ResourceUsage:
-        """Return what all other processes of this broker hold."""
+        """Return the resource usage of all other processes of this broker."""
         return sum((peer.usage for peer in self.peers), ResourceUsage())
 
     def publish_usage(self) -> None:
-        """Send each peer what this process and those behind it hold, and the list where due."""
+        """Send each peer the usage of this process and its other peers, and a due list."""
         own_usage = self._host.resource_usage()
         for peer in list(self.peers):
             peer.send_due_snapshot()
@@ -186,5 +186,5 @@
         """Close all links; the path is removed only where it is still this process's own."""
         self.listener.close_and_remove_path()
         for peer in list(self.peers):
-            peer.link.close_silently("the broker ends")
+            peer.link.close_silently("the broker shuts down")
             peer.transfer.close_channel()
--- a/umberusher/hot_restart/interfaces.py
+++ b/umberusher/hot_restart/interfaces.py
@@ -1,6 +1,6 @@
-"""What the parts of hot restart need of each other and of the broker.
+"""Interfaces between the modules of hot restart, and between them and the broker.
 
-Type checkers alone import this module: a protocol holds memory, in each broker from its start on.
+Only type checkers import this module: the protocols would occupy memory in each broker.
 """
 
 from __future__ import annotations
@@ -43,27 +43,27 @@
         """Whether no byte is in flight here, so that another process can read on."""
 
     def hand_over(self, forward_answer: Callable[[int, bytes], None]) -> None:
-        """Let go of the connection; pass answers of its open calls to ``forward_answer``."""
+        """Release the connection; pass answers of its open calls to ``forward_answer``."""
 
     def answer(self, sequence_id: int, frame: bytes) -> None:
         """Write the answer of an open call."""
 
     def disconnect_call(self, sequence_id: int) -> None:
-        """Note that the client waits no longer for a call."""
+        """End a call for which the client no longer waits."""
 
     def fail_handed_over_calls(self) -> None:
-        """Fail the calls that the other process held; it has ended."""
+        """Fail the calls that the predecessor would answer: it has ended."""
 
     def on_successor_lost(self) -> None:
-        """Note that the process with the connection has ended: the client is gone."""
+        """Treat the client as disconnected: the successor with its connection has ended."""
 
 
 AdoptClient = Callable[[socket.socket, list[int], Callable[[int], None]], TransferableClient]
-"""Adopts a connection with its open calls, given what to call when a client leaves one."""
+"""Adopts a connection with its open calls; the function is called if a client abandons a call."""
 
 
 class RestartHost(Protocol):
-    """The broker, as its predecessor and its successor see it."""
+    """The part of the broker that hot restart uses."""
 
     @property
     def listening_socket(self) -> socket.socket | None:
@@ -84,10 +84,10 @@
         """Return the whole endpoint list as pieces of JSON."""
 
     def resource_usage(self) -> ResourceUsage:
-        """Return what this process holds of the joint limits."""
+        """Return this process's usage of the limits that the broker's processes share."""
 
     def changed_team_budgets(self) -> JsonObject:
-        """Return how the teams' budgets have changed since the greeting; empty where not."""
+        """Return how the teams' budgets have changed since the greeting; empty if unchanged."""
 
     def apply_watch_event(self, event: WatchEvent) -> None:
         """Apply a watch event of the peer."""
@@ -96,7 +96,7 @@
         """Begin or end a manual drain, as the peer has."""
 
     def apply_team_budgets(self, state: JsonObject) -> None:
-        """Take the peer's state of the teams' budgets."""
+        """Apply the peer's state of the teams' budgets."""
 
     def adopt_client(
         self, sock: socket.socket, open_calls: list[int], on_disconnect: Callable[[int], None]
@@ -104,14 +104,14 @@
         """Take over a client's connection from the peer, which answers these calls."""
 
     def stop_accepting(self) -> None:
-        """Leave accepting clients to a successor."""
+        """Stop accepting clients: the successor accepts them."""
 
     def resume_accepting(self) -> bool:
         """Accept clients again, unless this process shuts down; return whether it does."""
 
 
 class PeerObserver(Protocol):
-    """Who keeps the peers of this process.
+    """The owner of the peers of this process.
 
     Attributes:
         update_source: The peer whose message is being applied; it need not be sent the change.
@@ -120,7 +120,7 @@
     update_source: Peer | None
 
     def on_successor_ready(self) -> None:
-        """Note that a successor accepts clients from now on."""
+        """Handle that a successor accepts clients from now on."""
 
     def on_peer_closed(self, peer: Peer) -> None:
-        """Note that a link has closed."""
+        """Handle that a link has closed."""
--- a/umberusher/hot_restart/messages.py
+++ b/umberusher/hot_restart/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the processes of one broker, and their form on the wire.
+"""Messages between the processes of one broker, and their encoding on the wire.
 
 Each message is one line of JSON, an object with the message's name as its key. The endpoint list
 may be megabytes long: its lines are written in pieces, and a received list stays JSON until it is
@@ -8,7 +8,7 @@
 whole list). A process that announces no version reads version 1 and is sent the whole list,
 ``known``, at each change.
 
-The messages are named tuples: a dataclass holds twice the memory, in each broker from its start on.
+The messages are named tuples: dataclasses would take twice the memory in each broker.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceUsage:
-    """What processes hold of the limits that all processes of one broker share."""
+    """Usage of the limits that all processes of one broker share."""
 
     memory_mb: float = 0.0
     client_count: int = 0
     engine_connection_count: int = 0
 
     def __add__(self, other: ResourceUsage) -> ResourceUsage:
-        """Return what both hold together."""
+        """Return the sum of both."""
         return ResourceUsage(
             self.memory_mb + other.memory_mb,
             self.client_count + other.client_count,
@@ -51,7 +51,7 @@
 
 
 class UsageReport(NamedTuple):
-    """``use``: what the sender, and the processes behind it, hold."""
+    """``use``: the resource usage of the sender and of its other peers."""
 
     usage: ResourceUsage
 
@@ -90,7 +90,7 @@
 
     @classmethod
     def from_json(cls, fields: JsonObject) -> EndpointSnapshot:
-        """Read the message; the document is checked by whoever applies it."""
+        """Read the message; the document is validated when it is applied."""
         return cls(fields["known"])
 
 
@@ -102,12 +102,12 @@
 
     @classmethod
     def from_json(cls, fields: JsonObject) -> EndpointChange:
-        """Read the message; the watch event is checked by whoever applies it."""
+        """Read the message; the watch event is validated when it is applied."""
         return cls(fields["notice"], int(fields["follows"]))
 
 
 class SnapshotRequest(NamedTuple):
-    """``ask``: send the whole list, since a change behind this revision is missing."""
+    """``ask``: a request for the whole list; a change after this revision is missing."""
 
     revision: int = 0
 
@@ -158,7 +158,7 @@
 
 
 class CallDisconnect(NamedTuple):
-    """``leave``: the client of a handed-over connection waits no longer for one call."""
+    """``leave``: the client of a handed-over connection no longer waits for one call."""
 
     client_number: int
     sequence_id: int
@@ -207,13 +207,13 @@
     """``hello``: what a successor is given besides the endpoint list."""
 
     delisted_engines: list[str]
-    """Engines that are known and not listed any more."""
+    """Engines that are known and no longer listed."""
 
     manual_drains: dict[str, float]
-    """Since when engines are drained by hand, Unix time in milliseconds."""
+    """When manual drains that are in effect began, by engine, Unix time in milliseconds."""
 
     manual_drain_ends: dict[str, float]
-    """When engines were called back from a manual drain, Unix time in milliseconds."""
+    """When past manual drains ended, by engine, Unix time in milliseconds."""
 
     teams: JsonObject
     """The state of the teams' budgets; empty without contracts, or from an older version."""
@@ -295,7 +295,7 @@
     """
     fields = read_document(line.decode())
     if not isinstance(fields, dict):
-        raise TypeError("expected an object")
+        raise TypeError("expected a JSON object")
     decoded = [decoder(fields) for name, decoder in _DECODERS.items() if name in fields]
     return [message for message in decoded if message is not None]
 
@@ -324,7 +324,7 @@
 
 
 def _line_in_pieces(head: str, pieces: Iterable[str], tail: str) -> Iterator[bytes]:
-    """Yield one line as bytes: a list of thousands must not stand in memory a second time."""
+    """Yield one line as bytes: a list of thousands must not be held in memory twice."""
     yield head.encode()
     for piece in pieces:
         yield piece.encode()
@@ -332,7 +332,7 @@
 
 
 class ClientPacket(NamedTuple):
-    """What accompanies a client's connection: its number on this link, and its open calls."""
+    """The packet with a client's connection: its number on this link, and its open calls."""
 
     client_number: int
     open_sequence_ids: list[int]
--- a/umberusher/hot_restart/peer.py
+++ b/umberusher/hot_restart/peer.py
@@ -34,7 +34,7 @@
 log = logging.getLogger(__name__)
 
 CHANGES_VERSION = 2
-"""The version of the messages that brought single endpoint changes."""
+"""The first version of the messages that has single endpoint changes."""
 
 
 class Peer:
@@ -44,10 +44,11 @@
         is_successor: Whether it started after this process, or before.
         is_ready: Whether it accepts clients in this process's place.
         version: The newest version of the messages that it reads.
-        snapshot_is_due: Whether it is to be sent the whole list, once all before it is with the
-            kernel: megabytes would queue up for a slow peer, the older lists for nothing.
-        usage: What it reported to hold of the joint limits.
-        reported_usage: What it was sent last.
+        snapshot_is_due: Whether it must still be sent the whole list. That waits until the kernel
+            has accepted all earlier messages: otherwise megabytes of outdated lists would queue up
+            for a slow peer.
+        usage: The usage of the shared limits that it reported.
+        reported_usage: The usage that it was last sent.
     """
 
     __slots__ = (
@@ -107,19 +108,19 @@
         self.link.send_in_pieces(messages.encode_endpoint_change(event, follows))
 
     def request_snapshot(self) -> None:
-        """Send the whole list now, or once the peer has read what it was sent before."""
+        """Send the whole list now, or once all earlier messages are written."""
         self.snapshot_is_due = True
         self.send_due_snapshot()
 
     def send_due_snapshot(self) -> None:
-        """Send the whole list where it is due and nothing waits in front of it."""
+        """Send the whole list if it is due and no earlier message is pending."""
         if self.snapshot_is_due and self.link.is_flushed:
             self.snapshot_is_due = False
             endpoint_list = self._host.endpoint_list()
             self.link.send_in_pieces(messages.encode_endpoint_snapshot(endpoint_list))
 
     def send_usage(self, usage: ResourceUsage) -> None:
-        """Report what this process, and those behind it, hold, where that has changed."""
+        """Report the usage of this process and its other peers, if it has changed."""
         if usage != self.reported_usage:
             self.reported_usage = usage
             self.send(UsageReport(usage))
@@ -129,7 +130,7 @@
     def _on_line(self, line: bytearray) -> None:
         """Apply the messages of one line.
 
-        A peer of another version, or one that malfunctions, is disconnected; service goes on.
+        A peer of another version, or one that malfunctions, is disconnected; service continues.
         """
         try:
             for message in messages.decode(line):
@@ -152,7 +153,7 @@
         self._apply_watch_events(message.document)
 
     def _on_endpoint_change(self, message: EndpointChange) -> None:
-        """Apply a change to the local list; where one between is missing, request the list once."""
+        """Apply a change to the local list; if an earlier one is missing, request the list once."""
         if message.follows <= self._host.endpoint_revision:
             self._apply_watch_events({"notices": [message.watch_event]})
         elif not self._snapshot_requested:
@@ -193,7 +194,7 @@
             return
         self.is_ready = True
         log.info("hot_restart_successor_ready")
-        # This process went on admitting requests after the greeting.
+        # This process has continued to admit requests since the greeting.
         changed_budgets = self._host.changed_team_budgets()
         if changed_budgets:
             self.send(TeamBudgets(changed_budgets))
--- a/umberusher/hot_restart/predecessor.py
+++ b/umberusher/hot_restart/predecessor.py
@@ -1,4 +1,4 @@
-"""Where a successor finds the process that serves now: a Unix socket at the broker's own path."""
+"""The Unix socket, at the broker's own path, on which the serving process accepts successors."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 log = logging.getLogger(__name__)
 
 MAX_PEERS = 4
-"""Links at once, and connections that wait to be accepted."""
+"""Limit of links at once, and of connections that wait to be accepted."""
 
 PRIVATE_UMASK = 0o177
-"""Only this user's processes may take the clients' listener."""
+"""Only this user's processes may receive the clients' listener."""
 
 
 def socket_path(environment: Mapping[str, str], address: tuple[str, int]) -> str | None:
@@ -48,17 +48,17 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a successor finds this process."""
+        """Whether a successor can connect to this process."""
         return self._listener is not None
 
     def open(self) -> None:
-        """Put this process's socket at the path in one step, so that there is always one there."""
+        """Move this process's socket to the path atomically: there is always a socket there."""
         if self.path is None or self._listener is not None:
             return
         own_path = f"{self.path}.{os.getpid()}"
         try:
             sock = _listening_socket(own_path, self.path)
-        except OSError as error:  # No Unix sockets here, or a path that is too long for one.
+        except OSError as error:  # No Unix sockets here, or the path is too long for one.
             log.warning("hot_restart_unavailable path=%s reason=%s", self.path, error)
             return
         self._loop.prioritize(sock.fileno())
@@ -66,7 +66,7 @@
         self._listener.set_paused(False)
 
     def close(self) -> None:
-        """Stop listening; the path stays, a successor's socket may lie there."""
+        """Stop listening; keep the path, since a successor's socket may be there."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -81,7 +81,7 @@
 
 
 def _no_descriptors() -> None:
-    """Do nothing: the listener tries again by itself."""
+    """Do nothing: the listener retries by itself."""
 
 
 def _listening_socket(own_path: str, path: str) -> socket.socket:
--- a/umberusher/hot_restart/successor.py
+++ b/umberusher/hot_restart/successor.py
@@ -1,4 +1,4 @@
-"""The start of a successor: greet the process that serves now, and read what it hands over."""
+"""The start of a successor: connect to the process that serves now, and read its handover."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 )
 
 GREETING_TIMEOUT_S = 1.5
-"""For a short greeting, which the start waits for; 0.4 s were measured at 32,000 endpoints."""
+"""The start waits this long for a short greeting; one with 32,000 endpoints takes 0.4 s."""
 
 MIN_GREETING_BYTES_PER_S = 2e6
-"""Extends the time of a long greeting on a slow machine; one that trickles in gains nothing."""
+"""Extends the timeout of a long greeting on a slow machine, but hardly that of a slow trickle."""
 
 MIN_RECEIVE_TIMEOUT_S = 0.001
 """A socket's timeout of 0 would not wait at all."""
 
 MESSAGE_TO_LIST_RATIO = 2
-"""Longest message over the longest list that memory allows: the rest holds ids and budgets."""
+"""Longest message relative to the longest list that fits in memory: ids and budgets need room."""
 
 EXPECTED_DESCRIPTORS = 2
 """The clients' listener, and the channel that carries connections."""
 
 
 class HandoverRefused(Exception):  # noqa: N818
-    """A predecessor is there, but its handover is of no use.
+    """A predecessor is there, but its handover can't be used.
 
     Attributes:
         reason: What was wrong.
@@ -52,7 +52,7 @@
         listener: The clients' listening socket.
         channel: The channel that carries connections; an older predecessor passes none.
         link: The link to the predecessor.
-        received_after: Bytes of the link behind the greeting.
+        data_after_greeting: Bytes that were read from the link after the greeting.
         watch_events: The endpoint list.
         greeting: The other fields of the greeting.
     """
@@ -70,9 +70,9 @@
     clock: Callable[[], float] = time.monotonic,
     max_list_bytes: int = DEFAULT_MAX_ANSWER_BYTES,
 ) -> HandoverState | None:
-    """Greet the process that serves now, and return what it hands over.
+    """Connect to the process that serves now, and return what it hands over.
 
-    It blocks, for a bounded time: the loop does not run yet, and a start must not wait for a
+    It blocks for a bounded time: the loop does not run yet, and the start must not wait for a
     predecessor that hangs.
 
     Args:
@@ -84,15 +84,18 @@
         The handover, or None where no process serves.
 
     Raises:
-        HandoverRefused: A process is there, but its handover is of no use.
+        HandoverRefused: A process is there, but its handover can't be used.
     """
     try:
         link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    except OSError:  # Without Unix sockets nobody can be there; listening logs the reason.
+    except OSError:  # Without Unix sockets there is no predecessor; listening logs why.
         return None
     try:
         return _receive_handover(link, path, clock, MESSAGE_TO_LIST_RATIO * max_list_bytes)
-    except (FileNotFoundError, ConnectionRefusedError):  # Nobody listens; the file may be stale.
+    except (
+        FileNotFoundError,
+        ConnectionRefusedError,
+    ):  # No process listens; the file may be stale.
         link.close()
         return None
     except (OSError, ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
@@ -109,7 +112,7 @@
     link.connect(path)
     _, descriptors, _, _ = socket.recv_fds(link, 1, EXPECTED_DESCRIPTORS)
     if not descriptors:
-        raise ValueError("no listener was passed")
+        raise ValueError("the predecessor passed no listener")
     try:
         text, data_after_greeting = _receive_greeting(link, clock, started_at, max_bytes)
         return _handover_state(link, descriptors, text, data_after_greeting)
@@ -122,11 +125,11 @@
 def _receive_greeting(
     link: socket.socket, clock: Callable[[], float], started_at: float, max_bytes: int
 ) -> tuple[str, bytes]:
-    """Return the greeting's line, and the bytes behind it.
+    """Return the greeting's line, and the bytes after it.
 
     Raises:
         OSError: The link failed, or was silent for too long.
-        ValueError: The greeting did not end, was too long, or no text.
+        ValueError: The greeting was incomplete, too long, or not text.
     """
     received = bytearray()
     end = -1
@@ -135,13 +138,13 @@
         link.settimeout(max(deadline - clock(), MIN_RECEIVE_TIMEOUT_S))
         data = link.recv(READ_BUFFER_BYTES)
         if not data or clock() > deadline:
-            raise ValueError("no greeting arrived")
+            raise ValueError("the greeting was cut off or took too long")
         end_in_data = data.find(b"\n")
         if end_in_data >= 0:
             end = len(received) + end_in_data
         received += data
         if len(received) > max_bytes:
-            raise ValueError(f"a greeting of over {max_bytes:,} bytes")
+            raise ValueError(f"the greeting exceeds {max_bytes:,} bytes")
     data_after_greeting = bytes(received[end + 1 :])
     del received[end:]
     return received.decode(), data_after_greeting
@@ -150,7 +153,7 @@
 def _handover_state(
     link: socket.socket, descriptors: list[int], text: str, data_after_greeting: bytes
 ) -> HandoverState:
-    """Return the handover by its greeting; sockets are made last, so that no error leaves one."""
+    """Return the handover; its sockets are created last, so that no error leaves one open."""
     fields: dict[str, Any] = read_document(text)["hello"]
     events = watch_events(fields["known"], 0)
     greeting = Greeting.from_json(fields)
--- a/umberusher/net/__init__.py
+++ b/umberusher/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: the epoll loop, ring buffers and connections."""
+"""Sockets: the epoll loop, ring buffers, listeners and connections."""
--- a/umberusher/net/connection.py
+++ b/umberusher/net/connection.py
@@ -1,11 +1,12 @@
-"""A TCP connection as a small state machine, with a ring buffer for each direction.
-
-CONNECTING -> OPEN -> CLOSING -> CLOSED, or from each state at once to CLOSED. Messages wait in
-``outbox`` and go into the outbound ring one at a time, so that one which has not begun can still be
-withdrawn. Closing a socket over unread bytes resets the connection, and the peer loses what it has
-not read yet. A connection that owes nothing any more therefore passes CLOSING: it writes out what
-is queued, shuts the write side and reads out what still comes, for a bounded time. No exception of
-the socket leaves this module, but ConnectError.
+"""A non-blocking TCP connection as a state machine, with a ring buffer for each direction.
+
+The states are CONNECTING -> OPEN -> CLOSING -> CLOSED; each may also change to CLOSED directly.
+Messages wait in ``outbox`` and are encoded into the outbound ring one at a time, so a message whose
+writing has not begun can still be withdrawn. Closing a socket with unread input resets the
+connection, and the peer loses data that it has not read yet. A connection without open work
+therefore passes through CLOSING: it writes the queued messages, shuts down the write side, and
+reads and drops further input for a bounded time. The only exception of a socket that leaves this
+module is ConnectError.
 """
 
 from __future__ import annotations
@@ -26,22 +27,23 @@
 
 log = logging.getLogger(__name__)
 
-# Bytes that the kernel may hold unsent: what waits here can still be decided on.
+# Limit of unsent bytes in the kernel. Messages that wait in the outbox can still be withdrawn.
 MAX_UNSENT_BYTES = 16_384
-# Without a byte taken, after which writing is stalled.
+# Writing counts as stalled once the kernel has accepted no byte for this long.
 WRITE_STALLED_AFTER_MS = 250.0
-# For the peer to take the rest and close too: ten times what a call may cross a close by.
+# Time for the peer to read the remaining output and close too: ten times the delay by which a call
+# may cross a close.
 MAX_CLOSING_MS = 500.0
-# Bytes that are read and dropped in one go while closing.
+# Bytes that are read and dropped at once while closing.
 DISCARD_CHUNK_BYTES = 1 << 16
-# Reads of one ``read_pending``: what a flood brings beyond them waits for its turn.
+# Limit of reads in one ``read_pending``; further input of a flooding peer waits for the loop.
 MAX_PENDING_READS = 16
 TCP_NOTSENT_LOWAT = getattr(socket, "TCP_NOTSENT_LOWAT", 25)
 MS_PER_S = 1000.0
 
 
 class State(Enum):
-    """Where a connection stands."""
+    """The state of a connection."""
 
     CONNECTING = "connecting"
     OPEN = "open"
@@ -49,15 +51,15 @@
     CLOSED = "closed"
 
 
-# Members by name: a look-up through the class costs five times as much, and each event takes a
-# dozen of them.
+# The members as module globals: a look-up through the class costs five times as much, and each
+# event needs a dozen of them.
 CONNECTING, OPEN, CLOSING, CLOSED = State
 # The outbox of a connection that has nothing to write.
 EMPTY_OUTBOX: tuple[()] = ()
 
 
 class ConnectError(Exception):
-    """A connection can't even begin.
+    """A connection attempt failed immediately.
 
     Attributes:
         reason: The failed call and the error's symbolic name.
@@ -70,17 +72,17 @@
 
 
 class Message(Protocol):
-    """Something to write, encoded only when its turn has come."""
+    """A message to write, encoded only when it is the next one to be written."""
 
     def encode(self) -> bytes:
         """Return the bytes; empty to skip the message."""
 
     def written(self) -> None:
-        """Note that the last byte is with the kernel."""
+        """Handle that the kernel has accepted the last byte."""
 
 
 class RawMessage:
-    """Bytes as a message."""
+    """A message whose bytes are encoded already."""
 
     __slots__ = ("data",)
 
@@ -93,13 +95,14 @@
         return self.data
 
     def written(self) -> None:
-        """Do nothing: nobody asks."""
+        """Do nothing: no caller needs the notification."""
 
 
 def _ignore(*_: object) -> None:
-    """Stand for each hook that is not set.
+    """Do nothing: the default of each hook.
 
-    One function for all: most connections are clients' that are idle.
+    All connections share this function, so that the idle clients' connections, which are the
+    majority, hold no functions of their own.
     """
 
 
@@ -107,25 +110,25 @@
     """One socket with its state, buffers and queued messages.
 
     The owner sets the hooks it needs. Each is called at most once per transition, and an exception
-    of one closes this connection only. In CONNECTING and OPEN an idle connection holds no queue:
-    ``outbox`` is made with the first message and given back by ``release_buffers``.
+    that a hook raises closes this connection only. In CONNECTING and OPEN an idle connection holds
+    no queue: ``outbox`` is created with the first message and released by ``release_buffers``.
 
     Attributes:
-        state: Where the connection stands.
-        inbound: Bytes that the owner has not taken yet.
-        outbound: Bytes of the message in ``writing`` that the kernel has not taken yet.
-        outbox: Messages that have not begun, the first to write first.
-        writing: The message that has begun.
-        sent_bytes: All bytes that the kernel has taken.
-        write_blocked_since_s: The loop's time since which the kernel takes nothing; None while
-            it takes all.
-        reading_paused: Whether the owner takes no input for now.
-        on_connected: The peer has accepted; nothing is written before this returns.
+        state: The state of the connection.
+        inbound: Received bytes that the owner has not read yet.
+        outbound: Bytes of the message in ``writing`` that the kernel has not accepted yet.
+        outbox: Messages whose writing has not begun, in the order in which they are written.
+        writing: The message that is being written; None between messages.
+        sent_bytes: Total bytes that the kernel has accepted.
+        write_blocked_since_s: The loop's time since which the kernel accepts no bytes; None while
+            it accepts all.
+        reading_paused: Whether the owner reads no input for now.
+        on_connected: The peer has accepted the connection; nothing is written before this returns.
         on_open: The connection is open; queued messages are written next.
         on_data: More bytes are in ``inbound``.
-        on_closed: Nothing more is received or queued; with the reason. The state is CLOSING or
-            CLOSED.
-        on_released: A connection that was CLOSING has given its descriptor back.
+        on_closed: No more input is processed and no more messages are queued; called with the
+            reason. The state is CLOSING or CLOSED.
+        on_released: A connection that was CLOSING has closed its descriptor.
     """
 
     __slots__ = (
@@ -157,7 +160,7 @@
         max_inbound_bytes: int,
         max_outbound_bytes: int,
     ) -> None:
-        """Take a non-blocking socket; nothing is read or written before ``serve`` is spawned.
+        """Adopt a non-blocking socket; nothing is read or written before ``serve`` is spawned.
 
         Args:
             loop: The event loop.
@@ -178,7 +181,7 @@
         self.sent_bytes = 0
         self.write_blocked_since_s: float | None = None
         self._closing_timer: Timer | None = None
-        # An owner's hook is being called: it must not be entered again.
+        # Whether a hook of the owner is running: hooks are not called from within hooks.
         self._in_hook = False
         self.on_connected: Callable[[], None] = _ignore
         self.on_open: Callable[[], None] = _ignore
@@ -194,7 +197,7 @@
         return not self.outbox and self.writing is None
 
     def send(self, message: Message) -> None:
-        """Queue a message and write as much as the kernel takes; drop it where none is sent."""
+        """Queue a message and write as much as the kernel accepts; drop it once closing."""
         if self.state not in (CONNECTING, OPEN):
             return
         if isinstance(self.outbox, tuple):
@@ -205,21 +208,24 @@
             self._update_watch()
 
     def withdraw(self, message: Message) -> bool:
-        """Remove a message that has not begun; return whether it had not. O(n) of the outbox."""
+        """Remove a message whose writing has not begun; return whether it was removed.
+
+        O(n) in the length of the outbox.
+        """
         if isinstance(self.outbox, deque) and message in self.outbox:
             self.outbox.remove(message)
             return True
         return False
 
     def is_write_stalled(self) -> bool:
-        """Return whether the kernel has taken none of what waits for a while."""
+        """Return whether the kernel has accepted no pending byte for longer than the limit."""
         if self.write_blocked_since_s is None:
             return False
         blocked_s = self.loop.clock() - self.write_blocked_since_s
         return blocked_s > WRITE_STALLED_AFTER_MS / MS_PER_S
 
     def unacknowledged_bytes(self) -> int:
-        """Return how many bytes the kernel holds that the peer's has not acknowledged."""
+        """Return how many bytes the kernel holds that the peer's kernel has not acknowledged."""
         try:
             answer = fcntl.ioctl(self.fd, termios.TIOCOUTQ, b"\0\0\0\0")
         except OSError:
@@ -230,7 +236,7 @@
     # -- Reading
 
     def has_unread_input(self) -> bool:
-        """Return whether bytes lie with the kernel; the loop may not have reported them yet."""
+        """Return whether the kernel holds unread bytes; the loop may not have reported them yet."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:
@@ -261,7 +267,7 @@
             self._update_watch()
 
     def read_pending(self) -> None:
-        """Read and process input that lies with the kernel now, before the loop reports it."""
+        """Read and process input that the kernel holds now, before the loop reports it."""
         for _ in range(MAX_PENDING_READS):
             if self.state is not OPEN or self._in_hook or self.reading_paused:
                 break
@@ -270,13 +276,13 @@
         self._update_watch()
 
     def process_buffered(self) -> None:
-        """Offer the owner again what it has left in the inbound ring."""
+        """Call ``on_data`` again for input that the owner has left in the inbound ring."""
         if self.state is OPEN:
             self._call_hook(self.on_data)
             self._update_watch()
 
     def release_buffers(self) -> None:
-        """Give back what is empty: hundreds of connections may stay open and idle."""
+        """Release the memory of empty buffers: hundreds of connections may stay open and idle."""
         self.inbound.release()
         self.outbound.release()
         if not self.outbox:
@@ -285,20 +291,21 @@
     # -- Closing
 
     def close_gracefully(self, reason: str, within_ms: float = MAX_CLOSING_MS) -> None:
-        """Take no more input, tell the owner, and close without a reset within a bounded time.
+        """Stop processing input, notify the owner, and close without a reset in a bounded time.
 
-        Guards answers that the peer has not read yet against bytes of its that cross the close.
+        Input that crosses the close would otherwise reset the connection, and the peer would lose
+        answers that it has not read yet.
 
         Args:
             reason: Passed to ``on_closed``.
-            within_ms: The time for the peer to take the rest and close too.
+            within_ms: The time for the peer to read the remaining output and close too.
         """
         if self.state is not OPEN:
             self.close(reason)
             return
         self.state = CLOSING
         self._closing_timer = self.loop.call_later(
-            within_ms, lambda: self.close("not closed by the other side")
+            within_ms, lambda: self.close("the peer did not close in time")
         )
         self.inbound.discard(len(self.inbound))
         self.on_closed(reason)
@@ -306,7 +313,7 @@
         self._update_watch()
 
     def close(self, reason: str) -> None:
-        """Close now and tell the owner, once."""
+        """Close now and notify the owner, once."""
         if self.state is CLOSED:
             return
         was_closing = self.state is CLOSING
@@ -321,13 +328,13 @@
         self.on_released()
 
     def abort(self, reason: str) -> None:
-        """Close with a reset: the peer never gets what it has not taken yet."""
+        """Close with a reset: the peer never receives data that it has not read yet."""
         if self.state is OPEN:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close(reason)
 
     def detach(self) -> None:
-        """Let go of the socket without telling the owner: another process has it now."""
+        """Close the socket here without notifying the owner: another process has it now."""
         self.state = CLOSED
         self.loop.unregister(self.fd)
         self.sock.close()
@@ -335,7 +342,7 @@
     # -- The coroutine
 
     def serve(self) -> Coroutine:
-        """Move bytes until the connection closes."""
+        """Read and write until the connection closes."""
         while self.state is CONNECTING:
             yield Wait(self.fd, WRITE)
             self._check_connected()
@@ -356,10 +363,10 @@
                 self._discard_input()
 
     def _check_connected(self) -> None:
-        """Find whether the connection is established, has failed, or is still to be waited for.
+        """Check whether the connection is established, has failed, or is still pending.
 
-        Guards against an event of a descriptor that was closed and given out again in the same
-        step of the loop.
+        It is pending where the event belongs to a descriptor that was closed and reused within the
+        same step of the loop.
         """
         if self.state is not CONNECTING:
             return
@@ -383,7 +390,7 @@
         elif self.inbound.free_bytes > 0:
             events = READ
         else:
-            # A full ring hides the end of input that lies behind what is unread.
+            # Nothing can be read into a full ring, so the end of input is found by its event.
             events = READ_CLOSED
         if self.writing is None and not self.outbox:
             return events
@@ -394,10 +401,10 @@
             self.loop.watch(self.fd, self._wanted_events())
 
     def _read(self) -> bool:
-        """Read once and let the owner process it; return whether anything came."""
+        """Read once and let the owner process it; return whether any bytes arrived."""
         if self.inbound.free_bytes <= 0:
-            # An error, or the end while nothing may be read.
-            self.close("hung up")
+            # The event is an error or the end of input: a full ring is not polled for input.
+            self.close("failed or closed by the peer while the input buffer was full")
             return False
         try:
             count = self.inbound.receive_from(self.sock)
@@ -407,23 +414,23 @@
             self.close(_describe("read", error.errno))
             return False
         if not count:
-            self.close("ended by the other side")
+            self.close("closed by the peer")
             return False
         self._call_hook(self.on_data)
         return True
 
     def _discard_input(self) -> None:
-        """Drop input while closing: it is owed no answer, and left unread it would reset."""
+        """Drop input while closing: it gets no answer, and unread it would cause a reset."""
         try:
             if not self.sock.recv(DISCARD_CHUNK_BYTES):
-                self.close("ended by both sides")
+                self.close("closed by both sides")
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
             self.close(_describe("read", error.errno))
 
     def _call_hook(self, hook: Callable[[], None]) -> None:
-        """Call an owner's hook; an exception closes this connection, and the process goes on."""
+        """Call an owner's hook; an exception closes this connection only."""
         self._in_hook = True
         try:
             hook()
@@ -434,7 +441,7 @@
             self._in_hook = False
 
     def _flush(self) -> None:
-        """Write until nothing is left or the kernel takes no more; shut the write side if closing.
+        """Write until nothing is left or the kernel accepts no more; if closing, end the output.
 
         A message is encoded only when the outbound ring is empty, so the ring holds bytes of one
         message at a time.
@@ -479,7 +486,7 @@
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self.close("gone")
+            self.close("shutdown of the write side failed")
 
 
 def _describe(call: str, error_number: int | None) -> str:
@@ -495,7 +502,7 @@
     """Begin a connection; return it in state CONNECTING.
 
     Raises:
-        ConnectError: The connection can't even begin.
+        ConnectError: The connection attempt failed immediately.
     """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/umberusher/net/listener.py
+++ b/umberusher/net/listener.py
@@ -16,7 +16,7 @@
 
 
 class Listener:
-    """Passes on what a listening socket accepts, in batches so that open connections get turns.
+    """Accepts connections in batches, so that open connections are served in between.
 
     Attributes:
         sock: The listening socket.
@@ -36,9 +36,9 @@
         Args:
             loop: The event loop.
             sock: The listening socket, owned from now on.
-            batch_size: Connections accepted in one go.
-            on_accepted: Takes each accepted socket.
-            on_descriptor_shortage: Called when no descriptor is left for a connection that waits.
+            batch_size: Connections accepted at once.
+            on_accepted: Called with each accepted socket.
+            on_descriptor_shortage: Called when no descriptor is left for a pending connection.
         """
         self.sock = sock
         self.paused = True
@@ -49,9 +49,9 @@
         sock.setblocking(False)
 
     def set_paused(self, paused: bool) -> None:
-        """Accept nothing for now, or go on.
+        """Pause or resume accepting.
 
-        The socket stays open, for another process may share its queue.
+        The socket stays open, since another process may share its queue.
         """
         if paused is self.paused:
             return
@@ -68,12 +68,12 @@
             if self._accept_batch():
                 events = READ
             else:
-                # Guards against a full table of descriptors: the listener neither spins nor dies.
+                # Without a free descriptor, the listener neither busy-loops nor stops for good.
                 events = 0
                 self._loop.call_later(DESCRIPTOR_SHORTAGE_PAUSE_MS, self._resume)
 
     def _accept_batch(self) -> bool:
-        """Accept what waits, up to a batch; return False where no descriptor was left."""
+        """Accept pending connections, up to a batch; return False if no descriptor was left."""
         for _ in range(self._batch_size):
             try:
                 accepted, _address = self.sock.accept()
@@ -87,7 +87,7 @@
             try:
                 self._on_accepted(accepted)
             except Exception:
-                # Guards the listener, and with it all others, against a fault of one connection.
+                # A fault in setting up one connection must not stop the listener for all others.
                 log.exception("connection_setup_failed")
                 accepted.close()
         return True
@@ -97,7 +97,7 @@
             self._loop.watch(self.sock.fileno(), READ)
 
     def accept_pending_and_close(self) -> None:
-        """Accept what waits already, then close the socket."""
+        """Accept the pending connections, then close the socket."""
         if not self.paused:
             self._accept_batch()
         self.close()
--- a/umberusher/net/loop.py
+++ b/umberusher/net/loop.py
@@ -1,6 +1,6 @@
 """One thread's event loop: select.epoll, generators as coroutines, and timers.
 
-A coroutine yields a :class:`Wait` and is resumed with the events that came. The loop keeps at most
+A coroutine yields a :class:`Wait` and is resumed with its events. The loop keeps at most
 one coroutine per descriptor.
 """
 
@@ -17,19 +17,19 @@
 
 READ = select.EPOLLIN
 WRITE = select.EPOLLOUT
-# The peer has shut its write side, whatever lies unread before that.
+# The peer has shut down its write side; unread input may precede that.
 READ_CLOSED = select.EPOLLRDHUP
 
 MAX_EVENTS_PER_STEP = 64
 # Thousands of timers due together must not keep ready descriptors waiting.
 MAX_TIMERS_PER_STEP = 64
-# A poll that took this long had to wait: nothing was ready when it began.
+# A poll that takes longer than this has blocked: no event was ready when it began.
 MIN_BLOCKING_POLL_S = 0.001
-# By which a step may be late before the loop holds that the process was stopped.
+# A step that is late by more than this shows that the process was suspended or had no core.
 STALL_THRESHOLD_S = 0.05
-# What arrived during a stall is read within this time.
+# Input that arrived during a stall is read within this time.
 MAX_CATCH_UP_S = 0.5
-# Cancelled timers that are left in the heap without clearing it.
+# The heap is not compacted while it holds at most this many cancelled timers.
 COMPACTION_THRESHOLD_TIMERS = 64
 DEFAULT_MAX_WAIT_MS = 1000.0
 MS_PER_S = 1000.0
@@ -47,7 +47,7 @@
 
 
 class Timer:
-    """A planned call, which can be cancelled.
+    """A scheduled call, which can be cancelled.
 
     Attributes:
         due_s: When it is due, on the loop's clock.
@@ -76,11 +76,11 @@
     event mask; ``_cancelled_count`` counts the cancelled timers in the heap.
 
     Attributes:
-        clock: Returns seconds on a clock that never goes back.
+        clock: Returns monotonic time in seconds.
         epoll: Polls all descriptors but the prioritized ones.
-        priority_epoll: Polls those.
-        oldest_input_at_s: Since when input that is read now may have been here.
-        running: Whether ``run`` goes on.
+        priority_epoll: Polls the prioritized descriptors.
+        oldest_input_at_s: The earliest time at which input that is read now may have arrived.
+        running: Whether ``run`` continues.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -88,7 +88,7 @@
         self.clock = clock
         self.epoll = select.epoll()
         self.priority_epoll = select.epoll()
-        # So that prioritized events end a wait of the other object too.
+        # Prioritized events must end a wait on the other epoll object too.
         self.epoll.register(self.priority_epoll.fileno(), READ)
         self._prioritized: set[int] = set()
         self._parked: dict[int, Coroutine] = {}
@@ -99,23 +99,23 @@
         self._cancelled_count = 0
         self.oldest_input_at_s = clock()
         self._last_poll_s = self.oldest_input_at_s
-        # Until when, at the longest, input of a stall is still being read; 0 where there is none.
+        # The latest time until which input of a stall is still read; 0 if there was no stall.
         self._catch_up_until_s = 0.0
         self.running = False
 
     # -- Timers
 
     def call_later(self, delay_ms: float, call: Callable[[], None]) -> Timer:
-        """Plan a call in ``delay_ms``, in the next step if that is not positive; O(log n)."""
+        """Schedule a call in ``delay_ms``, in the next step if that is not positive; O(log n)."""
         timer = Timer(self.clock() + max(delay_ms, 0.0) / MS_PER_S, call, self)
         self._timer_serial += 1
         heapq.heappush(self._timers, (timer.due_s, self._timer_serial, timer))
         return timer
 
     def timer_cancelled(self) -> None:
-        """Count a cancelled timer, and clear the heap once over half of it is cancelled.
+        """Count a cancelled timer, and compact the heap once over half of it is cancelled.
 
-        Guards memory: nearly all timers are cancelled long before their time. O(1) amortised.
+        Bounds memory: nearly all timers are cancelled long before they are due. O(1) amortised.
         """
         self._cancelled_count += 1
         if self._cancelled_count <= COMPACTION_THRESHOLD_TIMERS:
@@ -126,7 +126,7 @@
             self._cancelled_count = 0
 
     def next_timer_due_s(self) -> float | None:
-        """Return when the next timer is due, on the loop's clock; None where none is planned."""
+        """Return when the next timer is due, on the loop's clock; None if there is none."""
         while self._timers and self._timers[0][2].call is None:
             heapq.heappop(self._timers)
             self._cancelled_count -= 1
@@ -169,8 +169,8 @@
         except StopIteration:
             return
         except Exception:
-            # The last guard: a fault of one connection must not end the process. Its events would
-            # come for ever with nobody to take them.
+            # A fault of one connection must not end the process. Its descriptor is unregistered,
+            # since its events would be reported for ever with no coroutine to handle them.
             log.exception("coroutine_failed")
             self.unregister(fd)
             return
@@ -188,9 +188,10 @@
         self._masks[fd] = events
 
     def prioritize(self, fd: int) -> None:
-        """Take a descriptor's events first in each step; call it before the descriptor is watched.
+        """Handle a descriptor's events first in each step; call it before it is watched.
 
-        Guards it against floods: a step is bounded, and these events wait for no more than one.
+        Protects the descriptor from floods on others: a step is bounded, and these events wait for
+        at most one step.
         """
         self._prioritized.add(fd)
 
@@ -219,11 +220,11 @@
         self._run_due_timers()
 
     def _update_oldest_input_time(self, began_s: float, timeout_s: float, any_ready: bool) -> None:
-        """Keep since when input that is read in this step may have been here.
+        """Update the earliest time at which input that is read in this step may have arrived.
 
-        Guards against a process that was stopped, or had no core: what came meanwhile lies in the
-        kernel without its time. It came after the loop had last polled, and is held to have come
-        just then, until nothing more waits.
+        While a process is suspended or has no core, input arrives in the kernel without a time.
+        It arrived after the loop's last poll, and is assumed to have arrived right then, until no
+        more input is pending.
         """
         now = self.clock()
         stalled = now - self._last_poll_s > timeout_s + STALL_THRESHOLD_S
@@ -238,14 +239,14 @@
 
     @property
     def catching_up(self) -> bool:
-        """Whether input of a stall is still being read: a peer that seems silent may not be."""
+        """Whether input of a stall is still being read: a peer that seems silent may have sent."""
         return self._catch_up_until_s > 0.0
 
     def _resume_ready(self, ready: list[tuple[int, int]]) -> None:
         """Resume the coroutines of ready descriptors."""
         for fd, events in ready:
             coroutine = self._parked.pop(fd, None)
-            # One that was resumed before in this step may have closed it.
+            # A coroutine that was resumed earlier in this step may have closed the descriptor.
             if coroutine is not None:
                 self._resume(coroutine, events, fd)
 
@@ -256,6 +257,6 @@
             self.step()
 
     def close(self) -> None:
-        """Give the epoll descriptors back."""
+        """Close the epoll descriptors."""
         self.epoll.close()
         self.priority_epoll.close()
--- a/umberusher/net/ring.py
+++ b/umberusher/net/ring.py
@@ -4,9 +4,9 @@
 
 import socket
 
-# What a ring takes up once it is used; an empty one that grew past this gives the rest back.
+# Capacity of a ring in use; an empty ring that has grown beyond it shrinks to it again.
 INITIAL_CAPACITY_BYTES = 4096
-# What a ring takes up before it is used, and once it was released.
+# Capacity of a ring before its first use and after ``release``.
 IDLE_CAPACITY_BYTES = 64
 
 
@@ -18,7 +18,7 @@
     capacity, and that at most ``limit``; an empty ring begins at 0.
 
     Attributes:
-        limit: The most bytes that the ring holds.
+        limit: The maximum number of bytes that the ring holds.
     """
 
     __slots__ = ("_data", "_head", "_initial_capacity", "_size", "limit")
@@ -27,8 +27,8 @@
         """Create an empty ring.
 
         Args:
-            limit: The most bytes that it holds.
-            first: Its capacity once it is used.
+            limit: The maximum number of bytes that it holds.
+            initial_capacity: Its capacity once it is used.
         """
         self.limit = limit
         self._initial_capacity = min(initial_capacity, limit)
@@ -40,8 +40,8 @@
     def preallocated(cls, limit: int) -> RingBuffer:
         """Return a ring that has its full capacity from the start.
 
-        Guards streams whose input is taken as it comes: a ring that is always emptied never grows,
-        and each read would bring at most ``RESTING_CAPACITY_BYTES``.
+        For streams whose input is read as it arrives: a ring that is always emptied never grows,
+        and each read would return at most ``IDLE_CAPACITY_BYTES``.
         """
         ring = cls(limit, limit)
         ring._data = bytearray(limit)
@@ -74,7 +74,7 @@
         self._head = 0
 
     def _spans(self, start: int, size: int) -> list[tuple[int, int]]:
-        """Return where ``size`` bytes from ``start`` on lie: one span, or two where they wrap."""
+        """Return where ``size`` bytes from ``start`` on lie: one span, or two if they wrap."""
         capacity = len(self._data)
         start %= capacity
         end = start + size
@@ -98,11 +98,11 @@
     def write_through(self, sock: socket.socket, data: bytes) -> int:
         """Send ``data`` to a socket once, append what is not sent, and return the count sent.
 
-        The ring must be empty and ``data`` within its limit. What the kernel takes at once, as
-        nearly all answers and requests, is not copied.
+        The ring must be empty and ``data`` within its limit. Bytes that the kernel
+        accepts at once are not copied, which holds for nearly all answers and requests.
 
         Raises:
-            BlockingIOError: The kernel takes nothing; all of ``data`` is appended.
+            BlockingIOError: The kernel accepts nothing; all of ``data`` is appended.
             OSError: The socket failed.
         """
         try:
@@ -144,7 +144,7 @@
         """Return a copy of ``size`` bytes from ``start`` on, left in place."""
         low = self._head + start
         if low + size <= len(self._data):
-            # Nearly always: a ring that has run empty begins at 0 again.
+            # This is the usual case, since a ring that has become empty begins at 0 again.
             return bytes(self._data[low : low + size])
         return b"".join(self._data[low:high] for low, high in self._spans(low, size))
 
@@ -158,7 +158,7 @@
                 self._data = bytearray(self._initial_capacity)
 
     def release(self) -> None:
-        """Give back what an empty ring has allocated."""
+        """Release the memory of an empty ring."""
         if not self._size and len(self._data) > IDLE_CAPACITY_BYTES:
             self._data = bytearray(min(IDLE_CAPACITY_BYTES, self.limit))
             self._head = 0
@@ -170,7 +170,7 @@
         return data
 
     def find(self, pattern: bytes, limit: int) -> int:
-        """Return where ``mark`` first begins within the first ``limit`` bytes, or -1; O(limit)."""
+        """Return where ``pattern`` first begins in the first ``limit`` bytes, or -1; O(limit)."""
         size = min(self._size, limit)
         if self._head + size <= len(self._data):
             position = self._data.find(pattern, self._head, self._head + size)
