--- a/tests/frontend/test_client_close.py
+++ b/tests/frontend/test_client_close.py
@@ -14,25 +14,25 @@
 from umberusher.net.connection import MAX_CLOSING_MS, RawMessage
 
 
-@pytest.mark.parametrize("way", ["ebb", "evict", "idle"])
-def test_client_connection_delivers_answer_when_call_crosses_close(rig, way):
-    """A close over unread bytes resets the connection: what its client had not read yet was lost."""
+@pytest.mark.parametrize("cause", ["drain", "evict", "idle"])
+def test_client_connection_delivers_answer_when_call_crosses_close(rig, cause):
+    """Closing with unread input resets the connection: its client lost answers not read yet."""
     rig = rig()
     client = client_with_small_buffer(rig)
-    front = rig.broker.frontend
+    frontend = rig.broker.frontend
     newest_client_connection(rig).connection.send(RawMessage(b"x" * 200_000))
     rig.until(lambda: newest_client_connection(rig).connection.is_flushed)
-    if way == "ebb":
-        front.drain_idle_connections()
-    elif way == "evict":
-        front._evict()
+    if cause == "drain":
+        frontend.drain_idle_connections()
+    elif cause == "evict":
+        frontend._evict()
     else:
         rig.now += 60.0
-        front.sweep()
+        frontend.sweep()
     client.sock.send(execute_call(1))
     assert len(read_to_end(client, lambda: rig.step(0))) == 200_000
     client.sock.close()
-    rig.until(lambda: not front.closing and not front.clients)
+    rig.until(lambda: not frontend.closing and not frontend.clients)
 
 
 def test_client_connection_closes_in_time_when_client_never_closes(rig):
@@ -46,8 +46,8 @@
     client.sock.close()
 
 
-@pytest.mark.parametrize("way", ["evict", "idle"])
-def test_frontend_keeps_client_when_its_call_is_in_the_kernel(rig, way):
+@pytest.mark.parametrize("cause", ["evict", "idle"])
+def test_frontend_keeps_client_when_its_call_is_in_the_kernel(rig, cause):
     rig = rig()
     client = rig.client()
     rig.until(lambda: rig.broker.frontend.clients)
@@ -55,14 +55,14 @@
     rig.until(lambda: rig.answer(client))
     rig.now += 60.0
     client.sock.send(execute_call(2))
-    if way == "evict":
+    if cause == "evict":
         assert not rig.broker.frontend._evict()
     else:
         rig.broker.frontend.sweep()
     rig.until(lambda: f"{2:016x}" in rig.broker.registry.requests)
 
 
-def test_frontend_bounds_ending_connections_when_clients_flood_it(
+def test_frontend_bounds_closing_connections_when_clients_flood_it(
     rig,
 ):
     rig = rig()
--- a/tests/frontend/test_client_disconnect.py
+++ b/tests/frontend/test_client_disconnect.py
@@ -18,55 +18,58 @@
 
 
 def client_that_reads_nothing(rig, engines: int = 1):
-    """A client that takes no answers, with one call open that waits at the broker."""
+    """Return a client that reads no answers, with one open call that is queued in the broker."""
     rig = rig(engines)
     client = client_with_small_buffer(rig)
-    side = newest_client_connection(rig)
-    side.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4608)
-    rig.broker.balancer.choice.choose = lambda request, now_ms: None  # what is taken waits
+    client_connection = newest_client_connection(rig)
+    client_connection.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4608)
+    rig.broker.balancer.choice.choose = lambda request, now_ms: None  # admitted calls stay queued
     client.sock.send(execute_call(1))
-    rig.until(lambda: side.open_calls)
-    side.connection.send(RawMessage(b"x" * 500_000))
+    rig.until(lambda: client_connection.open_calls)
+    client_connection.connection.send(RawMessage(b"x" * 500_000))
     for _ in range(MAX_UNWRITTEN_ANSWERS + 1):
-        side.write_answer(b"y")
-    assert side.write_blocked
-    return rig, client, side
+        client_connection.write_answer(b"y")
+    assert client_connection.write_blocked
+    return rig, client, client_connection
 
 
 def test_frontend_processes_cancel_when_client_reads_nothing(rig):
-    """Reading was paused with answers unread: the cancel lay with the kernel, and the call went on."""
-    rig, client, side = client_that_reads_nothing(rig)
+    """Reading paused while answers were unread: the cancellation stayed in the kernel, unnoticed."""
+    rig, client, client_connection = client_that_reads_nothing(rig)
     client.sock.send(interrupt(1))
     rig.until(lambda: not rig.broker.registry.requests)
-    assert not side.open_calls and not rig.broker.balancer.requests
+    assert not client_connection.open_calls and not rig.broker.balancer.requests
 
 
 @pytest.mark.parametrize("full", [False, True])
 def test_frontend_notices_disconnect_when_client_reads_nothing(rig, full):
-    rig, client, side = client_that_reads_nothing(rig)
+    rig, client, client_connection = client_that_reads_nothing(rig)
     if full:
         for number in range(2, 2 + MAX_DEFERRED_CALLS):
             client.sock.send(execute_call(number, "other"))
-        rig.until(lambda: len(side.deferred_calls or ()) == MAX_DEFERRED_CALLS)
+        rig.until(lambda: len(client_connection.deferred_calls or ()) == MAX_DEFERRED_CALLS)
     client.sock.shutdown(socket.SHUT_WR)
     rig.until(lambda: not rig.broker.frontend.clients)
     assert not rig.broker.balancer.requests
 
 
 def test_frontend_drops_call_when_cancelled_before_it_is_read(rig):
-    rig, client, side = client_that_reads_nothing(rig)
+    rig, client, client_connection = client_that_reads_nothing(rig)
     client.sock.send(execute_call(2) + execute_call(3) + interrupt(2))
-    rig.until(lambda: [each.seqid for _, each in side.deferred_calls or ()] == [3])
+    rig.until(lambda: [each.seqid for _, each in client_connection.deferred_calls or ()] == [3])
     assert f"{2:016x}" not in rig.broker.registry.requests
 
 
 def test_frontend_ends_open_requests_when_client_input_can_not_be_read(rig):
-    rig, client, side = client_that_reads_nothing(rig)
+    rig, client, client_connection = client_that_reads_nothing(rig)
     for number in range(2, 2 + MAX_DEFERRED_CALLS):
         client.sock.send(execute_call(number, "other"))
-    rig.until(lambda: len(side.deferred_calls or ()) == MAX_DEFERRED_CALLS and not side.open_calls)
+    rig.until(
+        lambda: len(client_connection.deferred_calls or ()) == MAX_DEFERRED_CALLS
+        and not client_connection.open_calls
+    )
     assert not rig.broker.balancer.requests and rig.broker.registry.outcome_counts["refused"] == 1
-    answers = 1 + MAX_DEFERRED_CALLS  # the refusal and the complaints
+    answers = 1 + MAX_DEFERRED_CALLS  # the rejection, and an exception for each deferred call
     got = b""
     for _ in range(4000):
         rig.step(0)
--- a/tests/hot_restart/processes.py
+++ b/tests/hot_restart/processes.py
@@ -1,4 +1,4 @@
-"""Set-up of the hot-restart tests: two processes of one broker, and what passes between them."""
+"""Set-up of the hot-restart tests: two processes of one broker, and the messages between them."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 from umberusher.hot_restart import messages
 
 
-def upgraded(rig, tmp_path, engines: int = 1, accepts: bool = True) -> tuple[Rig, broker.Broker]:
-    """A broker and its successor; where it is to accept, the notice board has answered it."""
+def broker_with_successor(
+    rig, tmp_path, engines: int = 1, accepts: bool = True
+) -> tuple[Rig, broker.Broker]:
+    """Return a rig and its successor; if that ``accepts``, the discovery service has answered it."""
     made = rig(engines, str(tmp_path / "s"))
     new = made.successor()
     if accepts:
-        made.board_of_new = made.accept("board")
-        made.expect(made.board_of_new, b"linger=%d " % discovery.FIRST_POLL_LINGER_MS)
+        made.successor_discovery = made.accept("board")
+        made.expect(made.successor_discovery, b"linger=%d " % discovery.FIRST_POLL_LINGER_MS)
         body = b'{"rev":%d,"notices":[]}' % made.rev
-        made.board_of_new.sock.send(
+        made.successor_discovery.sock.send(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         )
         made.until(lambda: new.discovery.has_answered)
@@ -30,7 +32,7 @@
 
 
 def with_client_handed_over(rig, tmp_path) -> tuple[Rig, broker.Broker, Peer, str]:
-    """A client with one call at the old process, whose connection the successor has."""
+    """Return a client with a call at the predecessor, whose connection was handed over."""
     made = rig(1, str(tmp_path / "s"))
     client, rid, made.engine = made.begun()
     new = made.successor()
@@ -49,7 +51,7 @@
 
 
 def with_engines_listed(rig, count: int, path) -> Rig:
-    """A broker with so many engines in its list."""
+    """Return a rig whose broker has ``count`` further engines in its list."""
     made = rig(1, str(path / "s"))
     made.broker.endpoints.apply(
         made.notice(*[(f"e-{number:05d}", "s-0", "SERVING") for number in range(count)])
@@ -58,7 +60,7 @@
 
 
 def record_messages(monkeypatch) -> list[dict]:
-    """The messages that any process of the test gets."""
+    """Return a list to which each message that a process of the test receives is added."""
     found, decode = [], messages.decode
 
     def recorded(line):
@@ -70,7 +72,7 @@
 
 
 def greeted_as_older_successor(rig, path) -> tuple[Peer, dict]:
-    """A successor of an older version, played by the test, and what it is greeted with."""
+    """Return a successor of an older version, played by the test, and the greeting it receives."""
     link = socket.socket(socket.AF_UNIX)
     link.connect(path)
     rig.until(lambda: rig.broker.hot_restart.peers)
--- a/tests/hot_restart/test_channel.py
+++ b/tests/hot_restart/test_channel.py
@@ -4,11 +4,11 @@
 
 import json
 
-from tests.hot_restart.processes import upgraded
+from tests.hot_restart.processes import broker_with_successor
 
 
 def test_message_in_pieces_is_read_and_one_without_end_disconnects(rig, tmp_path):
-    made, new = upgraded(rig, tmp_path)
+    made, new = broker_with_successor(rig, tmp_path)
     peer = made.broker.hot_restart.peers[0]
     line = (
         json.dumps({"ban": ["s-0", 1.0]}).encode()
--- a/tests/hot_restart/test_client_transfer.py
+++ b/tests/hot_restart/test_client_transfer.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.hot_restart.processes import upgraded, with_client_handed_over
+from tests.hot_restart.processes import broker_with_successor, with_client_handed_over
 from tests.thrift_messages import execute
 from umberusher.broker import readiness
 
@@ -36,9 +36,9 @@
         execute(7, {"method": "lookup", "rid": "7" * 16, "budget": "2000"}, b"select 1")
     )
     second = rig.accept("s-0")
-    rig.expect(second, b"REQ 7777777777777777 ")  # the successor reads on
+    rig.expect(second, b"REQ 7777777777777777 ")  # the successor continues reading
     engine.sock.send(f"{first} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
-    assert b"a\t1\t2\n" in rig.answer(client)  # the old one's answer, by way of the successor
+    assert b"a\t1\t2\n" in rig.answer(client)  # the predecessor's answer, through the successor
     second.sock.send(b"7777777777777777 HIT count=1 6\r\nb\t1\t2\n\r\n")
     assert b"b\t1\t2\n" in rig.answer(client)
     rig.later(200)
@@ -67,11 +67,11 @@
 
 
 def test_handed_over_calls_are_stopped_when_successor_dies(rig, tmp_path):
-    """Their connections are gone with it: the old process went on with their calls, and sent them again."""
+    """Their connections end with it: the predecessor continued their calls, and retried them."""
     made, new, client, rid = with_client_handed_over(rig, tmp_path)
     made.broker.loop.running = True
     made.brokers.remove(new)
-    new.hot_restart.close()  # killed: it has no time to say that its clients leave
+    new.hot_restart.close()  # killed: it can't report that its clients disconnect
     new.close()
     made.expect(made.engine, f"STOP {rid}\r\n".encode())
     assert not made.broker.registry.in_flight and not made.broker.balancer.requests
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("packet", [b"{]", b"[]", b'{"client":1}', b'{"client":1,"open":["x"]}'])
 def test_connection_with_malformed_packet_is_closed(rig, tmp_path, packet):
-    made, new = upgraded(rig, tmp_path)
+    made, new = broker_with_successor(rig, tmp_path)
     ours, theirs = socket.socketpair()
     socket.send_fds(
         made.broker.hot_restart.peers[0].transfer.channel._sock, [packet], [theirs.fileno()]
@@ -92,13 +92,13 @@
     ours.close()
 
 
-def test_predecessor_reads_on_and_closes_idle_clients_without_a_channel(rig, tmp_path):
+def test_predecessor_keeps_reading_and_closes_idle_clients_without_a_channel(rig, tmp_path):
     made = rig(1, str(tmp_path / "s"))
     client, first, engine = made.begun()
     made.successor()
     made.later(1000 * readiness.MAX_DISCOVERY_WAIT_S + 300)
     made.until(lambda: made.broker.frontend.paused)
-    made.answer(client)  # its deadline
+    made.answer(client)  # its deadline passes
     second = made.ask(client, "load", obj="k", budget="25000")
     made.expect(engine, second.encode())
     made.broker.hot_restart.peers[0].transfer.close_channel()
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -4,7 +4,7 @@
 
 import struct
 
-from tests.hot_restart.processes import upgraded
+from tests.hot_restart.processes import broker_with_successor
 from umberusher.broker import readiness, shutdown
 from umberusher.decisions.events import EndpointState
 from umberusher.hot_restart import peer as restart_peer
@@ -14,14 +14,14 @@
 
 
 def test_successor_accepts_after_bounded_wait_for_discovery(rig, tmp_path):
-    made, new = upgraded(rig, tmp_path, accepts=False)
+    made, new = broker_with_successor(rig, tmp_path, accepts=False)
     made.later(500)
     assert not new.readiness.is_ready() and not made.broker.frontend.paused
     made.later(1000 * readiness.MAX_DISCOVERY_WAIT_S)
     made.until(lambda: new.readiness.is_ready() and made.broker.frontend.paused)
 
 
-def test_successor_takes_endpoint_list_and_manual_drains(rig, tmp_path):
+def test_successor_receives_endpoint_list_and_manual_drains(rig, tmp_path):
     rig = rig(3, str(tmp_path / "s"))
     rig.broker.endpoints.apply(rig.notice(("s-1", "s-1", "DELETED")))
     rig.broker.endpoints.start_manual_drain("s-0")
@@ -30,7 +30,7 @@
     new = rig.successor()
     assert (
         new.balancer.engines["s-2"].started_ms == rig.broker.balancer.engines["s-2"].started_ms
-    )  # cold there too
+    )  # its slow start has begun at the same time
     assert new.endpoints.revision == rig.broker.endpoints.revision and set(
         new.endpoints.directory
     ) == {
@@ -52,16 +52,16 @@
 def test_crossing_manual_drains_are_not_echoed(rig, tmp_path, monkeypatch):
     rig = rig(1, str(tmp_path / "s"))
     new = rig.successor()
-    told = []
-    monkeypatch.setattr(restart_peer.Peer, "send", lambda self, message: told.append(message))
+    sent = []
+    monkeypatch.setattr(restart_peer.Peer, "send", lambda self, message: sent.append(message))
     for each in rig.brokers:
         each.hot_restart.peers[0].receive(ManualDrainChange("s-0", 1.0))
         each.hot_restart.peers[0].receive(ManualDrainChange("s-0", None))
-    assert not told and not new.endpoints.manual_drains
+    assert not sent and not new.endpoints.manual_drains
 
 
 def test_shared_limits_count_what_both_processes_hold(rig, tmp_path):
-    made, new = upgraded(rig, tmp_path)
+    made, new = broker_with_successor(rig, tmp_path)
     made.client()
     made.until(lambda: new.frontend.clients)
     made.memory_mb = 80.0
@@ -78,7 +78,7 @@
 
 
 def test_predecessor_accepts_again_when_link_breaks_before_shutdown(rig, tmp_path):
-    made, new = upgraded(rig, tmp_path)
+    made, new = broker_with_successor(rig, tmp_path)
     new.close()
     made.brokers.remove(new)
     made.until(lambda: not made.broker.frontend.paused)
@@ -87,7 +87,7 @@
 
 
 def test_listener_stays_with_successor_when_link_breaks_after_shutdown_request(rig, tmp_path):
-    made, new = upgraded(rig, tmp_path)
+    made, new = broker_with_successor(rig, tmp_path)
     made.broker.request_shutdown()
     made.later(200)
     new.hot_restart.peers[0].link.close("broken")
@@ -107,12 +107,13 @@
     new = made.successor()
     made.later(1000 * readiness.MAX_DISCOVERY_WAIT_S + 300)
     made.until(lambda: made.broker.frontend.paused)
-    held = made.ask(client, "load", obj="k", budget="25000")  # waits for its key's turn
+    # Waits for the earlier request with the same key.
+    queued = made.ask(client, "load", obj="k", budget="25000")
     made.broker.request_shutdown()
     made.broker.loop.running = True
     made.later(1200)
     assert (
-        made.broker.registry.requests[held].is_open
+        made.broker.registry.requests[queued].is_open
         and made.broker.loop.running
         and not client.read()
     )
@@ -127,18 +128,18 @@
 
 
 def test_second_successor_finds_the_newest_process(rig, tmp_path):
-    made, new = upgraded(rig, tmp_path)
+    made, new = broker_with_successor(rig, tmp_path)
     third = made.successor()
     assert third.hot_restart.peers and any(peer.is_successor for peer in new.hot_restart.peers)
     assert not any(
         peer.is_successor and not peer.is_ready for peer in made.broker.hot_restart.peers
     )
     third.endpoints.start_manual_drain("s-0")
-    made.until(lambda: made.broker.endpoints.find("s-0") is None)  # by way of the second
+    made.until(lambda: made.broker.endpoints.find("s-0") is None)  # through the second process
 
 
 def test_successor_leaves_listener_when_it_shuts_down_before_it_accepts(rig, tmp_path):
-    made, new = upgraded(rig, tmp_path, accepts=False)
+    made, new = broker_with_successor(rig, tmp_path, accepts=False)
     new.request_shutdown()
     new.loop.running = True
     made.later(1000 * readiness.MAX_DISCOVERY_WAIT_S + 500)
@@ -148,12 +149,13 @@
 def test_watch_event_of_one_process_applies_in_both(rig, tmp_path):
     made = rig(3, str(tmp_path / "s"))
     new = made.successor()
-    new.endpoints.apply(made.notice(("s-0", "s-0", "DELETED")))  # which the old one never hears
+    # The predecessor does not receive these events from discovery.
+    new.endpoints.apply(made.notice(("s-0", "s-0", "DELETED")))
     new.endpoints.apply(made.notice(("s-1", "s-1", "DRAINING")))
     made.until(lambda: made.broker.endpoints.revision == new.endpoints.revision)
     assert (
         "s-0" not in made.broker.endpoints.directory and made.broker.endpoints.find("s-1") is None
     )
     made.broker.endpoints.apply(made.notice(("s-2", "s-2", "DRAINING")))
-    made.broker.request_shutdown()  # in the same moment
+    made.broker.request_shutdown()  # at the same moment
     made.until(lambda: new.endpoints.find("s-2") is None)
--- a/tests/hot_restart/test_messages.py
+++ b/tests/hot_restart/test_messages.py
@@ -1,4 +1,4 @@
-"""The messages between the processes of one broker: what is written, and what is read."""
+"""The encoding and decoding of the messages between the processes of one broker."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
     assert decode(line) == [EndpointChange({"rev": 3}, 2)]
 
 
-def test_endpoint_list_is_written_in_the_form_of_the_discovery_service():
+def test_endpoint_list_is_written_in_the_format_of_the_discovery_service():
     entry = EndpointUpdate("s-0", EndpointState.UP)
     endpoint_list = encode_endpoint_list(3, [(entry, ("127.0.0.1", 80))])
     line = b"".join(encode_endpoint_snapshot(endpoint_list))
--- a/tests/hot_restart/test_predecessor.py
+++ b/tests/hot_restart/test_predecessor.py
@@ -1,4 +1,4 @@
-"""The path at which a successor finds the broker's process."""
+"""The path at which a successor connects to the broker's process."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_nothing_is_left_behind_when_path_cannot_be_replaced(rig, tmp_path):
-    (tmp_path / "s" / "in").mkdir(parents=True)  # a folder stands where the socket would
+    (tmp_path / "s" / "in").mkdir(parents=True)  # a directory is at the path of the socket
     made = rig(1, str(tmp_path / "s"))
     assert (
         made.broker.readiness.is_ready()
@@ -39,14 +39,14 @@
 def test_broker_serves_and_warns_once_when_unix_sockets_are_refused(
     rig, tmp_path, monkeypatch, caplog
 ):
-    made = socket.socket
+    real_socket = socket.socket
 
-    def refused(family=socket.AF_INET, *args, **more):
+    def refuse_unix(family=socket.AF_INET, *args, **kwargs):
         if family == socket.AF_UNIX:
             raise OSError(errno.EAFNOSUPPORT, os.strerror(errno.EAFNOSUPPORT))
-        return made(family, *args, **more)
+        return real_socket(family, *args, **kwargs)
 
-    monkeypatch.setattr(predecessor.socket, "socket", refused)
+    monkeypatch.setattr(predecessor.socket, "socket", refuse_unix)
     rig = rig(1, str(tmp_path / "s"))
     client, rid, engine = rig.begun()
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -1,4 +1,4 @@
-"""Random steps on a real connection, checked against a model of its states."""
+"""Random steps on a connection over a real socket, checked against a model of its states."""
 
 from __future__ import annotations
 
@@ -119,18 +119,18 @@
 )
 
 
-def test_connection_closes_alone_when_its_hook_raises():
+def test_connection_closes_and_loop_continues_when_its_hook_raises():
     loop = Loop()
     ours, peer = socket.socketpair()
     ours.setblocking(False)
     peer.settimeout(5)
     conn = connection.Connection(loop, ours, State.OPEN, 100, 100)
-    why = []
-    conn.on_data, conn.on_closed = lambda: 1 / 0, why.append
+    reasons = []
+    conn.on_data, conn.on_closed = lambda: 1 / 0, reasons.append
     loop.spawn(conn.serve())
     peer.send(b"x")
     loop.step(1000)
-    assert why == ["fault"] and conn.state is State.CLOSED
+    assert reasons == ["fault"] and conn.state is State.CLOSED
     assert peer.recv(1) == b""
     loop.close()
     peer.close()
--- a/tests/net/test_cost.py
+++ b/tests/net/test_cost.py
@@ -1,4 +1,4 @@
-"""What a statement and a quiet connection cost, counted in calls, exceptions and objects: never in time."""
+"""The cost of a statement and of an idle connection, in calls, exceptions and objects, not time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 from umberusher.protocol import engine as codec
 from umberusher.protocol import thrift
 
-PARTS = (
+# Paths below umberusher/ whose calls are counted; those of the decisions are counted elsewhere.
+COUNTED_PATHS = (
     "net/",
     "protocol/",
     "frontend/",
@@ -27,28 +28,29 @@
     "upstream/",
     "endpoints/registry.py",
     "deadlines/",
-)  # of the program: the decisions are counted elsewhere
-CALLS_MOST = 200  # of Python functions for one statement in those: 182 as it stands, 312 before they were counted
+)
+# Calls of Python functions in these paths: a statement takes 182, and took 312 without this bound.
+MAX_CALLS_PER_STATEMENT = 200
 
 
-def watched(event_wanted: str, work: Callable[[], object]) -> Counter[str]:
-    """How often each file of the program had such an event while this ran."""
-    found: Counter[str] = Counter()
+def count_events(counted_event: str, work: Callable[[], object]) -> Counter[str]:
+    """Run ``work`` and return how often each file of the program had the event."""
+    counts: Counter[str] = Counter()
 
-    def note(frame: types.FrameType, event: str, _: object) -> Callable | None:
-        if event == event_wanted and "umberusher/" in frame.f_code.co_filename:
-            found[frame.f_code.co_filename.rpartition("umberusher/")[2]] += 1
-        return note
+    def trace(frame: types.FrameType, event: str, _: object) -> Callable | None:
+        if event == counted_event and "umberusher/" in frame.f_code.co_filename:
+            counts[frame.f_code.co_filename.rpartition("umberusher/")[2]] += 1
+        return trace
 
-    start = sys.setprofile if event_wanted == "call" else sys.settrace
-    kept = sys.gettrace()
-    start(note)
+    start = sys.setprofile if counted_event == "call" else sys.settrace
+    previous_trace = sys.gettrace()
+    start(trace)
     try:
         work()
     finally:
         sys.setprofile(None)
-        sys.settrace(kept)
-    return found
+        sys.settrace(previous_trace)
+    return counts
 
 
 @pytest.fixture
@@ -58,8 +60,8 @@
     made.close()
 
 
-def one(rig: Rig, client, engine) -> None:
-    """One statement, served in one page."""
+def serve_statement(rig: Rig, client, engine) -> None:
+    """Send one statement, which is answered with one page."""
     rid = rig.ask(client, est="2.0", ram="8", acct="t", token="x")
     rig.expect(engine, b"REQ " + rid.encode())
     engine.got = b""
@@ -75,41 +77,41 @@
     rig.expect(engine, b"REQ")
     engine.sock.send(f"{first} HIT count=1 6\r\na\tb\tc\n\r\n".encode())
     rig.answer(client)
-    seen: Counter[str] = Counter()
+    calls_by_file: Counter[str] = Counter()
     step = rig.broker.loop.step
 
-    def counted(longest_ms: float) -> None:
-        seen.update(watched("call", lambda: step(0)))
-        seen["rounds"] += 1
+    def counting_step(longest_ms: float) -> None:
+        calls_by_file.update(count_events("call", lambda: step(0)))
+        calls_by_file["rounds"] += 1
 
     for _ in range(3):
-        one(rig, client, engine)
-    rig.broker.loop.step = counted
+        serve_statement(rig, client, engine)
+    rig.broker.loop.step = counting_step
     for _ in range(20):
-        one(rig, client, engine)
+        serve_statement(rig, client, engine)
     calls = (
         sum(
             count
-            for file, count in seen.items()
-            if file.startswith(PARTS) and file != "net/loop.py"
+            for file, count in calls_by_file.items()
+            if file.startswith(COUNTED_PATHS) and file != "net/loop.py"
         )
         / 20
     )
-    assert 50 < calls < CALLS_MOST, seen
+    assert 50 < calls < MAX_CALLS_PER_STATEMENT, calls_by_file
 
 
 def test_decoder_makes_no_method_call_for_each_field():
     def calls(fields: int) -> int:
         frame = execute(1, {f"name{number}": "value" for number in range(fields)}, b"select 1")[4:]
-        return sum(watched("call", lambda: thrift.decode_call(frame)).values())
+        return sum(count_events("call", lambda: thrift.decode_call(frame)).values())
 
     assert calls(12) == calls(3)
 
 
-def test_an_answer_that_tells_no_load_and_no_cost_makes_nothing_of_it(monkeypatch):
+def test_answer_without_load_and_cost_creates_no_report(monkeypatch):
     made = []
     monkeypatch.setattr(codec, "LoadReport", lambda: made.append(1))
-    raised = watched(
+    raised = count_events(
         "exception", lambda: (codec.report({"count": "1"}), codec.cost({"count": "1"}))
     )
     assert not made and not raised
@@ -130,8 +132,8 @@
     loop.close()
 
 
-def read(conn: connection.Connection, peer: socket.socket) -> bytes:
-    """All that comes, while the loop writes what is left."""
+def read_all(conn: connection.Connection, peer: socket.socket) -> bytes:
+    """Return all that arrives while the loop writes the remaining output."""
     got = bytearray()
     for _ in range(200):
         conn.loop.step(1)
@@ -143,7 +145,7 @@
     return bytes(got)
 
 
-def test_connection_copies_nothing_into_ring_when_kernel_takes_all(pair):
+def test_connection_copies_nothing_into_ring_when_kernel_accepts_all(pair):
     conn, peer = pair
     for number in range(3):
         conn.send(RawMessage(bytes([number]) * 5_000))
@@ -152,17 +154,17 @@
         and conn.is_flushed
         and conn.sent_bytes == 15_000
     )
-    assert read(conn, peer) == b"".join(bytes([number]) * 5_000 for number in range(3))
+    assert read_all(conn, peer) == b"".join(bytes([number]) * 5_000 for number in range(3))
 
 
-def test_connection_writes_all_in_order_when_kernel_takes_part(pair):
+def test_connection_writes_all_in_order_when_kernel_accepts_a_part(pair):
     conn, peer = pair
     conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_608)
     wanted = [bytes([number]) * (700_000 if number == 1 else 3_000) for number in range(4)]
     for data in wanted:
         conn.send(RawMessage(data))
     assert not conn.is_flushed and conn.outbound.allocated_bytes > IDLE_CAPACITY_BYTES
-    assert read(conn, peer) == b"".join(wanted) and conn.sent_bytes == sum(map(len, wanted))
+    assert read_all(conn, peer) == b"".join(wanted) and conn.sent_bytes == sum(map(len, wanted))
 
 
 def test_connection_closes_when_message_is_larger_than_buffer(pair):
--- a/tests/net/test_priority.py
+++ b/tests/net/test_priority.py
@@ -1,4 +1,4 @@
-"""Descriptors that the loop serves first."""
+"""Descriptors whose events the loop handles first."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_prioritized_descriptor_is_served_before_a_flood():
-    """Fails where all events stand in one queue, or a round takes in all that is ready."""
+    """Fails if all events share one queue, or if a step handles all ready events at once."""
     loop, order, pairs = Loop(), [], [socket.socketpair() for _ in range(200)]
 
     def reader(name, sock):
--- a/tests/net/test_ring.py
+++ b/tests/net/test_ring.py
@@ -1,4 +1,4 @@
-"""The ring buffer, against a model of a bounded queue."""
+"""The ring buffer, checked against a model of a bounded queue."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_ring_is_a_bounded_queue_of_bytes(seed):
-    chance, ring, model = random.Random(seed), RingBuffer(1000, initial_capacity=16), b""
+    rng, ring, model = random.Random(seed), RingBuffer(1000, initial_capacity=16), b""
     for step in range(400):
-        data = bytes([step % 256]) * chance.randrange(300)
+        data = bytes([step % 256]) * rng.randrange(300)
         fits = len(model) + len(data) <= 1000
         assert ring.write(data) == fits
         model += data if fits else b""
         assert ring.find(b"\x07\x07", 1000) == model.find(b"\x07\x07")
-        size = chance.randrange(len(model) + 1)
+        size = rng.randrange(len(model) + 1)
         assert (ring.take(size), len(ring), ring.free_bytes) == (
             model[:size],
             len(model) - size,
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -1,4 +1,4 @@
-"""Listeners and connections at rare moments: descriptors, small writes, the end."""
+"""Listeners and connections: failed accepts, lack of descriptors, small writes and closing."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
     rig = rig()
     client, rid, engine = rig.begun()
     rig.broker.admin.listen(("127.0.0.1", 0))
-    door = rig.keep(Peer(socket.create_connection(rig.broker.admin.listener.sock.getsockname())))
+    admin_client = rig.keep(
+        Peer(socket.create_connection(rig.broker.admin.listener.sock.getsockname()))
+    )
     rig.until(lambda: rig.broker.admin.sessions)
     conns = [
         newest_client_connection(rig).connection,
@@ -31,77 +33,82 @@
     ]
     assert len(conns) == 4
     assert all(each.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for each in conns)
-    door.sock.close()
+    admin_client.sock.close()
 
 
-def test_listener_goes_on_when_one_connection_can_not_be_accepted():
-    """An exception while one was taken ended the coroutine that accepts: nobody came in any more."""
-    loop, sock, taken = Loop(), socket.create_server(("127.0.0.1", 0)), []
+def test_listener_continues_when_one_connection_setup_fails():
+    """An exception of ``on_accepted`` ended the accepting coroutine: no client was accepted later."""
+    loop, sock, accepted_sockets = Loop(), socket.create_server(("127.0.0.1", 0)), []
 
-    def take(accepted: socket.socket) -> None:
-        taken.append(accepted)
-        if len(taken) == 1:
-            raise OSError("gone already")
+    def on_accepted(accepted: socket.socket) -> None:
+        accepted_sockets.append(accepted)
+        if len(accepted_sockets) == 1:
+            raise OSError("already closed")
 
-    listener = Listener(loop, sock, 4, take, lambda: None)
+    listener = Listener(loop, sock, 4, on_accepted, lambda: None)
     listener.set_paused(False)
     peers = []
     for count in (1, 2):
         peers.append(socket.create_connection(sock.getsockname()))
         for _ in range(100):
             loop.step(10)
-            if len(taken) == count:
+            if len(accepted_sockets) == count:
                 break
-        assert len(taken) == count
+        assert len(accepted_sockets) == count
     listener.close()
-    for each in [*peers, *taken]:
+    for each in [*peers, *accepted_sockets]:
         each.close()
     loop.close()
 
 
-def test_listener_pauses_and_goes_on_when_descriptors_are_exhausted():
+def test_listener_pauses_and_resumes_when_descriptors_are_exhausted():
     now = [0.0]
-    loop, taken, short = Loop(lambda: now[0]), [], []
+    loop, accepted_sockets, shortage_times = Loop(lambda: now[0]), [], []
 
-    class Scarce(socket.socket):
-        left = 2
+    class SocketWithFailingAccept(socket.socket):
+        remaining_failures = 2
 
         def accept(self):
-            if self.left:
-                self.left -= 1
+            if self.remaining_failures:
+                self.remaining_failures -= 1
                 raise OSError(errno.EMFILE, "too many")
             return super().accept()
 
-    sock = Scarce()
+    sock = SocketWithFailingAccept()
     sock.bind(("127.0.0.1", 0))
     sock.listen()
-    listener = Listener(loop, sock, 4, taken.append, lambda: short.append(now[0]))
+    listener = Listener(
+        loop, sock, 4, accepted_sockets.append, lambda: shortage_times.append(now[0])
+    )
     listener.set_paused(False)
     peer = socket.create_connection(sock.getsockname())
-    for _ in range(100):  # no time passes: it is asked once
+    for _ in range(100):  # no time passes: the shortage is reported once
         loop.step(0)
-    assert short == [0.0] and not taken
+    assert shortage_times == [0.0] and not accepted_sockets
     for _ in range(10):
         now[0] += 0.021
         loop.step(0)
         loop.step(0)
-    assert len(short) == 2 and len(taken) == 1
-    for each in (listener, peer, *taken, loop):
+    assert len(shortage_times) == 2 and len(accepted_sockets) == 1
+    for each in (listener, peer, *accepted_sockets, loop):
         each.close()
 
 
-def test_connection_reports_its_end_once_when_it_ends():
+def test_connection_notifies_owner_once_when_it_closes():
     loop = Loop()
-    here, there = socket.socketpair()
-    here.setblocking(False)
-    conn = connection.Connection(loop, here, State.OPEN, 100, 100)
-    told = []
-    conn.on_closed, conn.on_released = told.append, lambda: told.append("gone")
+    own_end, peer_end = socket.socketpair()
+    own_end.setblocking(False)
+    conn = connection.Connection(loop, own_end, State.OPEN, 100, 100)
+    notifications = []
+    conn.on_closed, conn.on_released = (
+        notifications.append,
+        lambda: notifications.append("released"),
+    )
     loop.spawn(conn.serve())
     conn.close_gracefully("asked")
     conn.close_gracefully("again")
-    assert told == ["asked", "gone"]  # the second word closes at once
+    assert notifications == ["asked", "released"]  # the second call closes at once
     conn.close("once more")
-    assert told == ["asked", "gone"] and conn.state is State.CLOSED
-    there.close()
+    assert notifications == ["asked", "released"] and conn.state is State.CLOSED
+    peer_end.close()
     loop.close()
