--- a/umberusher/frontend/deferred_calls.py
+++ b/umberusher/frontend/deferred_calls.py
@@ -56,9 +56,9 @@
 
     def withdraw(self, seqid: int) -> None:
         """Remove the calls with this sequence id; O(n) of a bounded n."""
-        kept = deque(each for each in self._calls if each.call.seqid != seqid)
-        self._calls = kept
-        self._statement_bytes = sum(_statement_bytes(each.call) for each in kept)
+        remaining = deque(each for each in self._calls if each.call.seqid != seqid)
+        self._calls = remaining
+        self._statement_bytes = sum(_statement_bytes(each.call) for each in remaining)
 
 
 def _statement_bytes(call: Call) -> int:
--- a/umberusher/frontend/response_sink.py
+++ b/umberusher/frontend/response_sink.py
@@ -49,7 +49,7 @@
 
 
 def encode_rejection(seqid: int, backoff_ms: float | None) -> bytes:
-    """Return a rejection, with the Retry-After time where there is one."""
+    """Return a rejection, with the Retry-After time if there is one."""
     fields = {}
     if backoff_ms is not None:
         fields["backoff"] = str(round(backoff_ms))
--- a/umberusher/frontend/thrift_frontend.py
+++ b/umberusher/frontend/thrift_frontend.py
@@ -210,7 +210,7 @@
         self.closing.pop(transport, None)
 
     def _evict(self) -> bool:
-        """Free a descriptor; return False where no client can be evicted.
+        """Free a descriptor; return False if no client can be evicted.
 
         A connection that is closing is closed first. Otherwise the client without open calls that
         has been inactive for longest is evicted, one with an incomplete call before all others. A
--- a/umberusher/hot_restart/channel.py
+++ b/umberusher/hot_restart/channel.py
@@ -138,7 +138,7 @@
         return self._sock is not None
 
     def send(self, packet: bytes, descriptor: int) -> bool:
-        """Send a descriptor; return False where that can't be done now."""
+        """Send a descriptor; return False if that can't be done now."""
         if self._sock is None:
             return False
         try:
--- a/umberusher/hot_restart/client_transfer.py
+++ b/umberusher/hot_restart/client_transfer.py
@@ -23,7 +23,7 @@
     """The connections that were handed over on one link, in the process at either end.
 
     Attributes:
-        channel: The channel that carries connections; None where the peer passed none.
+        channel: The channel that carries connections; None if the peer passed none.
     """
 
     __slots__ = ("_adopt_client", "_clients", "_numbers", "_send", "channel")
@@ -58,7 +58,7 @@
         return self.channel is not None and self.channel.is_open
 
     def hand_over(self, client: TransferableClient) -> bool:
-        """Pass a client's connection to the successor; return False where that fails now."""
+        """Pass a client's connection to the successor; return False if that fails now."""
         number = next(self._numbers)
         packet = ClientPacket(number, list(client.open_calls)).encode()
         if self.channel is None or not self.channel.send(packet, client.connection.fd):
--- a/umberusher/hot_restart/hot_restart.py
+++ b/umberusher/hot_restart/hot_restart.py
@@ -154,7 +154,7 @@
     def publish_manual_drain(self, engine: str, since_unix_ms: float | None) -> None:
         """Send the beginning or the end of a manual drain to all peers but its source.
 
-        Prevents an echo: two changes that cross would be sent back and forth for ever.
+        Prevents an echo: two changes that cross would be sent back and forth forever.
         """
         for peer in list(self.peers):
             if peer is not self.update_source:
@@ -183,7 +183,7 @@
             peer.send_usage(sum(others, own_usage))
 
     def close(self) -> None:
-        """Close all links; the path is removed only where it is still this process's own."""
+        """Close all links; the path is removed only if it is still this process's own."""
         self.listener.close_and_remove_path()
         for peer in list(self.peers):
             peer.link.close_silently("the broker shuts down")
--- a/umberusher/hot_restart/interfaces.py
+++ b/umberusher/hot_restart/interfaces.py
@@ -67,7 +67,7 @@
 
     @property
     def listening_socket(self) -> socket.socket | None:
-        """The socket that a successor is given; None where this process has none."""
+        """The socket that a successor is given; None if this process has none."""
 
     @property
     def endpoint_revision(self) -> int:
--- a/umberusher/hot_restart/messages.py
+++ b/umberusher/hot_restart/messages.py
@@ -185,7 +185,7 @@
 
     @classmethod
     def from_json(cls, fields: JsonObject) -> TeamBudgets | None:
-        """Read the message; None where it holds no state."""
+        """Read the message; None if it holds no state."""
         state = fields["teams"]
         return cls(state) if isinstance(state, dict) else None
 
@@ -199,7 +199,7 @@
 
     @classmethod
     def from_json(cls, fields: JsonObject) -> SuccessorReady | None:
-        """Read the message; None where the sender is not ready."""
+        """Read the message; None if the sender is not ready."""
         return cls() if fields["ready"] is True else None
 
 
--- a/umberusher/hot_restart/predecessor.py
+++ b/umberusher/hot_restart/predecessor.py
@@ -33,7 +33,7 @@
     """Accepts successors at the broker's path.
 
     Attributes:
-        path: Where successors look; None where hot restart is off.
+        path: Where successors look; None if hot restart is off.
     """
 
     __slots__ = ("_listener", "_loop", "_on_successor", "path")
@@ -72,7 +72,7 @@
             self._listener = None
 
     def close_and_remove_path(self) -> None:
-        """Stop listening, and remove the path where it is still this process's own."""
+        """Stop listening, and remove the path if it is still this process's own."""
         if self._listener is None or self.path is None:
             return
         self.close()
--- a/umberusher/hot_restart/successor.py
+++ b/umberusher/hot_restart/successor.py
@@ -81,7 +81,7 @@
         max_list_bytes: The longest endpoint list that memory allows.
 
     Returns:
-        The handover, or None where no process serves.
+        The handover, or None if no process serves.
 
     Raises:
         HandoverRefused: A process is there, but its handover can't be used.
--- a/umberusher/net/connection.py
+++ b/umberusher/net/connection.py
@@ -476,13 +476,13 @@
             self.close(_describe("write", error.errno))
             return
         if self.state is CLOSING and self.is_flushed:
-            self._shut_write_side()
+            self._shut_down_write_side()
 
     def _note_write_blocked(self) -> None:
         if self.write_blocked_since_s is None:
             self.write_blocked_since_s = self.loop.clock()
 
-    def _shut_write_side(self) -> None:
+    def _shut_down_write_side(self) -> None:
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
--- a/umberusher/net/loop.py
+++ b/umberusher/net/loop.py
@@ -152,7 +152,7 @@
     # -- Coroutines and descriptors
 
     def spawn(self, coroutine: Coroutine) -> None:
-        """Start a coroutine; it runs up to its first wait at once."""
+        """Start a coroutine; it runs to its first wait immediately."""
         try:
             wait = next(coroutine)
         except StopIteration:
@@ -170,7 +170,7 @@
             return
         except Exception:
             # A fault of one connection must not end the process. Its descriptor is unregistered,
-            # since its events would be reported for ever with no coroutine to handle them.
+            # since its events would be reported forever with no coroutine to handle them.
             log.exception("coroutine_failed")
             self.unregister(fd)
             return
--- a/umberusher/net/ring.py
+++ b/umberusher/net/ring.py
@@ -83,7 +83,7 @@
         return [(start, capacity), (0, end - capacity)]
 
     def write(self, data: bytes) -> bool:
-        """Append all of ``data``; return False, with nothing appended, where it does not fit."""
+        """Append all of ``data``; return False, with nothing appended, if it does not fit."""
         size = len(data)
         if size > self.limit - self._size:
             return False
