--- a/umberusher/frontend/client_connection.py
+++ b/umberusher/frontend/client_connection.py
@@ -339,7 +339,7 @@
         """Whether no call is open or deferred and no answer waits to be written."""
         return not self.open_calls and not self.deferred_calls and self.connection.is_flushed
 
-    def timeout_reason(self, now_ms: float) -> CloseReason | None:
+    def overdue(self, now_ms: float) -> CloseReason | None:
         """Return why the connection is to be closed; None if no time limit has passed."""
         inactive_ms = now_ms - self.active_ms
         if inactive_ms > RELEASE_BUFFERS_AFTER_MS:
--- a/umberusher/frontend/thrift_frontend.py
+++ b/umberusher/frontend/thrift_frontend.py
@@ -243,7 +243,7 @@
         """
         now_ms = self.now_ms()
         for client in list(self.clients):
-            reason = client.timeout_reason(now_ms)
+            reason = client.overdue(now_ms)
             if not reason:
                 continue
             if reason == CloseReason.IDLE and client.connection.has_unread_input():
