--- a/umberusher/frontend/response_sink.py
+++ b/umberusher/frontend/response_sink.py
@@ -8,7 +8,7 @@
 
 
 class AnsweringClient(Protocol):
-    """The client connection that a call came on."""
+    """The client connection on which a call arrived."""
 
     def answer(self, seqid: int, data: bytes) -> None:
         """Write the encoded answer of the open call ``seqid``."""
@@ -49,7 +49,7 @@
 
 
 def encode_rejection(seqid: int, backoff_ms: float | None) -> bytes:
-    """Return a rejection, with the Retry-After time where there is one."""
+    """Return a rejection, with the Retry-After time if there is one."""
     fields = {}
     if backoff_ms is not None:
         fields["backoff"] = str(round(backoff_ms))
