--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -58,7 +58,9 @@
     found = config.load({"LB_CONFIG": str(path), "LB_NAME": "n7", "LB_LISTEN": "127.0.0.2:81"})
     assert (found.name, found.listen, found.seed) == ("n7", ("127.0.0.2", 81), 0x8C1F30D27A5BE964)
     assert (
-        found.settings.classes[1].ordered_by_key and found.multiplex == 32 and found.admin is None
+        found.settings.classes[1].ordered_by_key
+        and found.max_requests_per_connection == 32
+        and found.admin is None
     )
     path.write_text(json.dumps(CONF | {"admin": "127.0.0.1:82"}))
     assert config.load({"LB_CONFIG": str(path)}).admin == ("127.0.0.1", 82)
--- a/umberusher/broker/broker.py
+++ b/umberusher/broker/broker.py
@@ -99,7 +99,7 @@
         self._events: deque[Event] = deque()
         self._is_pumping = False
         self._shutdown_request = ShutdownRequest(self.loop.clock)
-        descriptors = config.sockets - RESERVED_DESCRIPTORS
+        descriptors = config.max_descriptors - RESERVED_DESCRIPTORS
         engine_descriptors = int(descriptors * ENGINE_DESCRIPTOR_FRACTION)
         self._wire_decisions()
         self._wire_upstream(engine_descriptors, receipts)
@@ -128,7 +128,7 @@
             config.discovery,
             lambda: self.endpoints.revision,
             self.endpoints.apply,
-            config.list_bytes,
+            config.max_list_bytes,
             Random(f"{config.seed:x} {config.name}"),
         )
         self.readiness = Readiness(
@@ -145,7 +145,7 @@
             self.now_ms,
             self.post,
             UpstreamSettings(
-                max_attempts_per_connection=config.multiplex,
+                max_attempts_per_connection=config.max_requests_per_connection,
                 connect_timeout_ms=config.connect_timeout_ms,
                 keepalive_ms=config.keepalive_ms,
                 max_connections=max_connections,
@@ -167,7 +167,7 @@
             self.registry,
             self.upstream.attempts,
             self.post,
-            config.max_open,
+            config.max_open_requests,
             limits.max_retry_after_ms if limits.retry_after else None,
             self.contracts,
         )
@@ -192,7 +192,9 @@
             self._shutdown_request,
             memory_mb,
         )
-        self.hot_restart = HotRestart(self.loop, path, self.restart_host, self.config.list_bytes)
+        self.hot_restart = HotRestart(
+            self.loop, path, self.restart_host, self.config.max_list_bytes
+        )
         self.endpoints.subscribe(
             on_watch_event=self.hot_restart.publish_watch_event,
             on_manual_drain=self.hot_restart.publish_manual_drain,
@@ -311,7 +313,7 @@
         if path is None:
             return None
         try:
-            return request_handover(path, max_list_bytes=self.config.list_bytes)
+            return request_handover(path, max_list_bytes=self.config.max_list_bytes)
         except HandoverRefused as error:
             log.warning("hot_restart_handover_refused reason=%s", error.reason)
             return None
--- a/umberusher/commands/check_config.py
+++ b/umberusher/commands/check_config.py
@@ -17,6 +17,6 @@
     print(
         f"{config.name}: listens on {listen}, {len(engines)} engines known, {admin}, "
         f"{len(config.settings.classes)} classes, {config.memory_mb:g} MB, "
-        f"{config.sockets} descriptors"
+        f"{config.max_descriptors} descriptors"
     )
     return 0
--- a/umberusher/config.py
+++ b/umberusher/config.py
@@ -23,15 +23,15 @@
 DEFAULT_MEMORY_MB = 192.0
 MIN_MEMORY_MB = 32
 
-DEFAULT_DESCRIPTORS = 1024
+DEFAULT_MAX_DESCRIPTORS = 1024
 MIN_DESCRIPTORS = 64
 
-DEFAULT_MULTIPLEX = 32
+DEFAULT_MAX_REQUESTS_PER_CONNECTION = 32
 """Requests that one engine connection carries at a time."""
 
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_KEEPALIVE_MS = 15_000.0
-DEFAULT_MAX_OPEN = 10_000
+DEFAULT_MAX_OPEN_REQUESTS = 10_000
 
 
 class ConfigError(UsageError):
@@ -52,11 +52,11 @@
         initial_endpoints: The endpoints that are known before the discovery service answers.
         settings: The settings of the decisions.
         memory_mb: The memory limit of all processes of this broker.
-        sockets: The limit of descriptors of all processes of this broker.
-        multiplex: Requests that one engine connection carries at a time.
+        max_descriptors: The limit of descriptors of all processes of this broker.
+        max_requests_per_connection: Requests that one engine connection carries at a time.
         connect_timeout_ms: For an engine connection to come up.
         keepalive_ms: After which engines close an idle connection.
-        max_open: Requests that may be open at a time.
+        max_open_requests: Requests that may be open at a time.
         admin: The address of the admin listener; None for none.
     """
 
@@ -67,15 +67,15 @@
     initial_endpoints: list[WatchEvent]
     settings: Settings
     memory_mb: float = DEFAULT_MEMORY_MB
-    sockets: int = DEFAULT_DESCRIPTORS
-    multiplex: int = DEFAULT_MULTIPLEX
+    max_descriptors: int = DEFAULT_MAX_DESCRIPTORS
+    max_requests_per_connection: int = DEFAULT_MAX_REQUESTS_PER_CONNECTION
     connect_timeout_ms: float = DEFAULT_CONNECT_TIMEOUT_MS
     keepalive_ms: float = DEFAULT_KEEPALIVE_MS
-    max_open: int = DEFAULT_MAX_OPEN
+    max_open_requests: int = DEFAULT_MAX_OPEN_REQUESTS
     admin: tuple[str, int] | None = None
 
     @property
-    def list_bytes(self) -> int:
+    def max_list_bytes(self) -> int:
         """The longest endpoint list that the memory limit allows, in bytes of its text."""
         return max_answer_bytes(self.memory_mb)
 
@@ -116,13 +116,15 @@
         initial_endpoints=initial_endpoints,
         settings=read_settings(json.dumps(settings)),
         memory_mb=_number(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB),
-        sockets=int(_number(limits, "sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS)),
-        multiplex=int(_number(socket_limits, "multiplex", DEFAULT_MULTIPLEX, 1)),
+        max_descriptors=int(_number(limits, "sockets", DEFAULT_MAX_DESCRIPTORS, MIN_DESCRIPTORS)),
+        max_requests_per_connection=int(
+            _number(socket_limits, "multiplex", DEFAULT_MAX_REQUESTS_PER_CONNECTION, 1)
+        ),
         connect_timeout_ms=_number(
             socket_limits, "connect_timeout_ms", DEFAULT_CONNECT_TIMEOUT_MS, 1
         ),
         keepalive_ms=_number(socket_limits, "keepalive_ms", DEFAULT_KEEPALIVE_MS, 1),
-        max_open=int(_number(socket_limits, "max_open", DEFAULT_MAX_OPEN, 1)),
+        max_open_requests=int(_number(socket_limits, "max_open", DEFAULT_MAX_OPEN_REQUESTS, 1)),
     )
 
 
