--- a/umberusher/capacity/plan.py
+++ b/umberusher/capacity/plan.py
@@ -70,7 +70,7 @@
 class PlanError(UsageError):
     """A plan cannot be used: all that is wrong with it, a line each."""
 
-    about = "plan: "
+    message_prefix = "plan: "
 
 
 @dataclass(slots=True, frozen=True)
--- a/umberusher/cli.py
+++ b/umberusher/cli.py
@@ -40,7 +40,7 @@
     try:
         exit_code: int = module.run(parsed)
     except UsageError as error:
-        _print_error(f"{error.about}{error}")
+        _print_error(f"{error.message_prefix}{error}")
         return EXIT_USAGE
     return exit_code
 
--- a/umberusher/config.py
+++ b/umberusher/config.py
@@ -37,7 +37,7 @@
 class ConfigError(UsageError):
     """The configuration can't be used; the text is one line for the operator."""
 
-    about = "configuration: "
+    message_prefix = "configuration: "
 
 
 @dataclass(slots=True)
--- a/umberusher/errors.py
+++ b/umberusher/errors.py
@@ -9,7 +9,7 @@
     """Input can't be used; the text is one line that names file, line and field.
 
     Attributes:
-        about: What the input is; it goes before the text where that is printed.
+        message_prefix: Names the kind of input; it is printed before the text.
     """
 
-    about: ClassVar[str] = ""
+    message_prefix: ClassVar[str] = ""
--- a/umberusher/teams/contract.py
+++ b/umberusher/teams/contract.py
@@ -19,7 +19,7 @@
 class ContractError(UsageError):
     """A contract can't be used; the text has a line for each fault."""
 
-    about = "contract: "
+    message_prefix = "contract: "
 
 
 @dataclass(slots=True, frozen=True)
