--- a/tests/deadlines/test_report.py
+++ b/tests/deadlines/test_report.py
@@ -42,7 +42,7 @@
         json.dumps(event(held_ms=-5)),
     ]
     found = summarize_log("b.log", lines)
-    assert (found.lines, found.events, found.bad, found.left_out) == (10, 3, 5, 3)
+    assert (found.lines, found.events, found.defect_count, found.suppressed_events) == (10, 3, 5, 3)
     assert [each.split(": ")[0] for each in found.defects] == [
         f"b.log:{n}" for n in (6, 7, 8, 9, 10)
     ]
--- a/umberusher/commands/deadlines_report.py
+++ b/umberusher/commands/deadlines_report.py
@@ -30,13 +30,13 @@
     if args.plot:
         _write_plot(args.plot, document)
         tools.out.print(f"plot: {args.plot}", markup=False)
-    return EXIT_DEFECTS if summary.bad else 0
+    return EXIT_DEFECTS if summary.defect_count else 0
 
 
 def _print_tables(summary: LogSummary, document: dict[str, Any]) -> None:
     tools.out.print(
-        f"{summary.events} events in {summary.lines} lines, {summary.left_out} left out by the "
-        f"brokers, {summary.bad} not usable"
+        f"{summary.events} events in {summary.lines} lines, {summary.suppressed_events} left out "
+        f"by the brokers, {summary.defect_count} not usable"
     )
     tools.table(
         "mean milliseconds",
--- a/umberusher/deadlines/report.py
+++ b/umberusher/deadlines/report.py
@@ -96,9 +96,9 @@
         engines: The requests by engine.
         lines: Lines of the log.
         events: Events that could be used.
-        left_out: Events that the brokers have left out.
-        defects: Events that could not be used, by file and line; the first of them.
-        bad: Their number.
+        suppressed_events: Events that the brokers did not emit, to bound their rate.
+        defects: The first MAX_DEFECTS events that could not be used, by file and line.
+        defect_count: The number of events that could not be used.
     """
 
     groups: dict[tuple[str, str], EndGroup] = field(default_factory=dict)
@@ -106,22 +106,22 @@
     engines: dict[str, EngineTotals] = field(default_factory=dict)
     lines: int = 0
     events: int = 0
-    left_out: int = 0
+    suppressed_events: int = 0
     defects: list[str] = field(default_factory=list)
-    bad: int = 0
+    defect_count: int = 0
 
     def add_defect(self, text: str) -> None:
         """Count an event that can't be used."""
-        self.bad += 1
+        self.defect_count += 1
         if len(self.defects) < MAX_DEFECTS:
             self.defects.append(text)
 
     def add(self, event: Mapping[str, Any]) -> None:
         """Add an event."""
         self.events += 1
-        left_out = str(event.get("left_out", "0"))
-        if left_out.isdigit():
-            self.left_out += int(left_out)
+        suppressed_events = str(event.get("left_out", "0"))
+        if suppressed_events.isdigit():
+            self.suppressed_events += int(suppressed_events)
         self.groups.setdefault((event["class"], event["end"]), EndGroup()).add(event)
         if event.get("engine"):
             engine = self.engines.setdefault(event["engine"], EngineTotals())
@@ -142,8 +142,8 @@
         return {
             "lines": self.lines,
             "events": self.events,
-            "left_out": self.left_out,
-            "bad": self.bad,
+            "left_out": self.suppressed_events,
+            "bad": self.defect_count,
             "defects": self.defects,
             "groups": [
                 {"class": name, "end": end} | group.document()
