--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -56,7 +56,7 @@
     for number in range(3 * admin.MAX_CLIENTS):
         send_call(rig, b"GET /ops/st" if number % 2 else b"")
     slow = send_call(rig, b"GET /ops/readiness HTTP/1.1\r\n")
-    rig.until(lambda: any(each.has_sent for each in rig.broker.admin.sessions))
+    rig.until(lambda: any(each.has_received_data for each in rig.broker.admin.sessions))
     assert call(rig, "GET", "/ops/readiness")[0] == 200
     slow.sock.send(b"Host: x\r\n\r\n")
     rig.expect(slow, b"HTTP/1.1 200 ")
--- a/umberusher/admin/server.py
+++ b/umberusher/admin/server.py
@@ -44,7 +44,7 @@
     __slots__ = (
         "_server",
         "connection",
-        "has_sent",
+        "has_received_data",
         "is_answered",
         "last_input_ms",
         "protocol",
@@ -57,7 +57,7 @@
         self.protocol = AdminProtocol()
         self.started_ms = server.now_ms()
         self.last_input_ms = self.started_ms
-        self.has_sent = False
+        self.has_received_data = False
         self.is_answered = False
         conn.on_data = self._on_data
         conn.on_closed = self._on_closed
@@ -73,7 +73,7 @@
 
     def _on_data(self) -> None:
         self.last_input_ms = self._server.now_ms()
-        self.has_sent = True
+        self.has_received_data = True
         inbound = self.connection.inbound
         call = self.protocol.feed(inbound.take(len(inbound)))
         if call is None:
@@ -178,7 +178,7 @@
 
 
 def _eviction_order(session: AdminSession) -> tuple[bool, bool, float]:
-    return not session.is_answered, session.has_sent, session.last_input_ms
+    return not session.is_answered, session.has_received_data, session.last_input_ms
 
 
 def _not_allowed(call: AdminCall, allowed_method: str) -> AdminResponse | None:
--- a/umberusher/deadlines/disposition.py
+++ b/umberusher/deadlines/disposition.py
@@ -68,7 +68,7 @@
 
 
 def choose_disposition(
-    location: ByteLocation, alone: bool, unresponsive: bool = False
+    location: ByteLocation, is_exclusive: bool, unresponsive: bool = False
 ) -> Disposition:
     """Return what to do with an attempt that is no longer wanted.
 
@@ -77,18 +77,20 @@
     among them would stay unresolved. Once the kernel has all bytes a close proves nothing: the
     other machine may be taking the rest at that moment.
 
-    Args: location: Where the bytes of the attempt are. alone: Whether the connection carries
-        nothing else that a close would end. unresponsive: Whether the engine may not have read the
-        request yet and would begin it late, for example since a health check on the connection has
-        long been unanswered and nothing else has come. A STOP behind the request would be read as
-        late, so the connection is closed.
+    Args:
+        location: Where the bytes of the attempt are.
+        is_exclusive: Whether the connection carries nothing else that a close would end.
+        unresponsive: Whether the engine may not have read the request yet and would begin it late,
+            for example since a health check on the connection has long been unanswered and nothing
+            else has arrived. A STOP behind the request would be read as late, so the connection is
+            closed.
     """
     if location is ByteLocation.QUEUED:
         return _WITHDRAW
     if location is ByteLocation.PARTLY_WRITTEN:
-        return _CLOSE_BEFORE_LAST_BYTE if alone else _STOP
+        return _CLOSE_BEFORE_LAST_BYTE if is_exclusive else _STOP
     if location is ByteLocation.RESPONSE_STARTED:
         return _END
-    if unresponsive or (alone and location is ByteLocation.IN_KERNEL):
+    if unresponsive or (is_exclusive and location is ByteLocation.IN_KERNEL):
         return _CLOSE_AFTER_LAST_BYTE
     return _STOP
