--- a/umberusher/command_groups.py
+++ b/umberusher/command_groups.py
@@ -1,6 +1,6 @@
 """The groups of commands, such as ``trace``, and their options, as plain data.
 
-Imported where a command of a group is called: ``serve`` must not hold their options in its memory.
+Imported only for a command of a group, so that ``serve`` does not hold their options in memory.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class CommandGroup(NamedTuple):
-    """Commands behind one word, such as ``trace``."""
+    """The commands under one name, such as ``trace``."""
 
     help_text: str
     commands: dict[str, Command]
@@ -28,20 +28,20 @@
 _PLAN = option("plan", metavar="PLAN")
 _LAYOUT = option("--layout", required=True, choices=LAYOUTS)
 _READER_OPTIONS = (
-    option("--strict", action="store_true", help="end at the first defect"),
+    option("--strict", action="store_true", help="stop at the first defect"),
     option(
         "--max-rejects",
         type=float,
         default=0.05,
         metavar="SHARE",
-        help="exit 1 over this share of rejects (0.05)",
+        help="exit with status 1 above this fraction of rejected rows (0.05)",
     ),
     option(
         "--reorder-s",
         type=float,
         default=10.0,
         metavar="S",
-        help="rows this late are put in place (10)",
+        help="reorder rows that are at most this many seconds late (10)",
     ),
 )
 _REPLAY_OPTIONS = (
@@ -51,53 +51,55 @@
         "--nodes",
         type=int,
         default=7,
-        help="stand-in query nodes (7); a plan with machines brings its own",
+        help="number of stand-in engines (7); a plan with machines defines its own",
     ),
     option("--brokers", type=int, default=2),
-    option("--faults", metavar="F.star", help="script of faults"),
+    option("--faults", metavar="F.star", help="script of faults to inject"),
     option(
         "--retries",
         type=int,
         default=1,
         choices=[0, 1],
-        help="a client's own tries after the first (1)",
+        help="retries by a client itself (1)",
     ),
     option(
         "--leave",
         type=float,
         default=0.0,
         metavar="SHARE",
-        help="share of clients that leave early (0)",
+        help="fraction of clients that disconnect early (0)",
     ),
     option(
         "--tight",
         type=float,
         default=0.0,
         metavar="SHARE",
-        help="share of requests with up to 0.4 s only (0)",
+        help="fraction of requests with a deadline of at most 0.4 s (0)",
     ),
     option(
         "--skew",
         type=float,
         default=0.0,
         metavar="MS",
-        help="nodes' clocks run ahead or behind by this, in turn (0)",
+        help="clock skew of the engines, alternately ahead and behind (0)",
     ),
-    option("--receipts", action="store_true", help="brokers ask for a receipt of each request"),
+    option("--receipts", action="store_true", help="brokers request a receipt of each request"),
     option(
-        "--cancel", action="store_true", help="engines heed STOP for what runs, and brokers know it"
+        "--cancel",
+        action="store_true",
+        help="engines cancel running queries on STOP, and brokers rely on it",
     ),
     option(
         "--terms",
         choices=("probes", "answers"),
         default="probes",
-        help="how load is told; in answers: with priorities, costs, tenants and bad plans, "
-        "and no probes",
+        help="how engines report load; answers: in their responses, with priorities, costs, "
+        "tenants and bad plans, and without probes",
     ),
 )
 
 TRACE_COMMANDS: dict[str, Command] = {
-    "layouts": Command("trace_layouts", "the layouts that can be read, column for column", ()),
+    "layouts": Command("trace_layouts", "list the supported layouts with their columns", ()),
     "check": Command(
         "trace_check",
         "read files and report their defects",
@@ -118,21 +120,25 @@
             option("--mapping", required=True, metavar="M.star"),
             option("--seed", type=int, default=1),
             option("-o", "--output", required=True, metavar="PLAN"),
-            option("--window", metavar="FROM:TO", help="seconds of the trace's time"),
+            option(
+                "--window", metavar="FROM:TO", help="range of the trace's time to use, in seconds"
+            ),
             option(
                 "--rate",
                 type=float,
                 metavar="R",
-                help="requests a second that the plan is thinned or stretched to",
+                help="requests per second that the plan is thinned or stretched to",
             ),
             option(
                 "--thin",
                 type=float,
                 default=1.0,
                 metavar="SHARE",
-                help="share of jobs that stay, whole jobs by hash",
+                help="fraction of jobs to keep; complete jobs are selected by hash",
+            ),
+            option(
+                "--stretch", type=float, default=1.0, help="factor by which the time is extended"
             ),
-            option("--stretch", type=float, default=1.0, help="times that time is longer"),
             option(
                 "--machines",
                 nargs="*",
@@ -143,7 +149,7 @@
             option(
                 "--machine-mapping",
                 metavar="M.star",
-                help="gives machine(row); else all are of the small kind",
+                help="script with machine(row); without it all machines are of the small kind",
             ),
             *_READER_OPTIONS,
             LOG_FORMAT_OPTION,
@@ -152,22 +158,22 @@
     ),
     "stats": Command(
         "trace_stats",
-        "rates, burstiness, class mix of a plan",
+        "print rates, burstiness and class mix of a plan",
         (_PLAN, option("--plots", metavar="DIR"), option("--json", metavar="OUT")),
     ),
     "replay": Command(
         "trace_replay",
-        "play a plan through real brokers",
+        "replay a plan through real brokers",
         (
             _PLAN,
             *_REPLAY_OPTIONS,
-            option("--contract", metavar="TEAMS.star", help="brokers enforce it"),
+            option("--contract", metavar="TEAMS.star", help="contract that the brokers enforce"),
             option(
                 "--team",
                 action="append",
                 default=[],
                 metavar="NAME=PLAN",
-                help="a further team's plan; the first plan is the team's of --first",
+                help="plan of another team; the first plan belongs to the team of --first",
             ),
             option(
                 "--first",
@@ -177,18 +183,20 @@
             ),
             option("--json", metavar="OUT"),
             option("--report", metavar="DIR"),
-            option("--wire-log", metavar="OUT", help="what crossed the sockets, a JSON line each"),
+            option(
+                "--wire-log", metavar="OUT", help="log of all traffic on the sockets, as JSON lines"
+            ),
             option(
                 "--deadline-log",
                 metavar="OUT",
-                help="the brokers' events of requests late, expired or left",
+                help="log of the brokers' events for requests that were late, expired or abandoned",
             ),
             LOG_FORMAT_OPTION,
         ),
     ),
     "compare": Command(
         "trace_compare",
-        "play a plan under several settings, in parallel",
+        "replay a plan under several settings, in parallel",
         (
             _PLAN,
             *_REPLAY_OPTIONS,
@@ -197,16 +205,18 @@
                 action="append",
                 required=True,
                 metavar="NAME=A,B,...",
-                help="seed, nodes, brokers, retries, leave or faults; may be given again",
+                help="seed, nodes, brokers, retries, leave or faults; may be repeated",
+            ),
+            option(
+                "--jobs", type=int, default=0, help="number of parallel processes (number of cores)"
             ),
-            option("--jobs", type=int, default=0, help="processes at once (cores)"),
             option("--json", metavar="OUT"),
             LOG_FORMAT_OPTION,
         ),
     ),
     "make": Command(
         "trace_make",
-        "write a made-up trace in the google-2011-task-events layout",
+        "write a synthetic trace in the google-2011-task-events layout",
         (
             option(
                 "--pattern",
@@ -216,7 +226,7 @@
             option("--seconds", type=float, default=600.0),
             option("--rate", type=float, default=150.0),
             option("--seed", type=int, default=1),
-            option("--rows", type=int, default=0, help="stop at so many rows"),
+            option("--rows", type=int, default=0, help="stop after this many rows"),
             option("-o", "--output", required=True, metavar="FILE"),
             option("--machines", metavar="FILE", help="also write machine_events for the pattern"),
         ),
@@ -226,7 +236,7 @@
 DEADLINES_COMMANDS: dict[str, Command] = {
     "report": Command(
         "deadlines_report",
-        "where the time of late, expired and left requests went",
+        "show where the time of late, expired and abandoned requests was spent",
         (
             option("log", metavar="LOG", help="a broker's structured log, text or JSON"),
             option("--json", metavar="OUT"),
@@ -239,26 +249,28 @@
     ),
 }
 _CONTRACT = option("contract", metavar="TEAMS.star")
-_CLASSES = option("--classes", metavar="A,B", help="classes that there are; else any name is taken")
+_CLASSES = option(
+    "--classes", metavar="A,B", help="names of the classes; without it any name is accepted"
+)
 CONTRACT_COMMANDS: dict[str, Command] = {
     "check": Command(
         "contract_check",
-        "read a contract and say all that is wrong with it",
+        "read a contract and report all of its errors",
         (_CONTRACT, _CLASSES),
     ),
     "show": Command(
         "contract_show",
-        "what each team is promised on a day",
+        "show what each team is promised on a day",
         (_CONTRACT, option("--day", metavar="DATE"), option("--json", metavar="OUT")),
     ),
     "diff": Command(
         "contract_diff",
-        "what another contract changes",
+        "show what another contract changes",
         (_CONTRACT, option("other", metavar="OTHER.star"), option("--json", metavar="OUT")),
     ),
     "simulate": Command(
         "contract_simulate",
-        "play plans through the budgets alone, without sockets",
+        "replay plans against the budgets alone, without sockets",
         (
             _CONTRACT,
             option("--team", action="append", required=True, metavar="NAME=PLAN"),
@@ -268,7 +280,7 @@
     ),
     "statement": Command(
         "contract_statement",
-        "promised, used, refused and its worth in a period, from brokers' logs",
+        "show promised, used and rejected work of a period and its value, from brokers' logs",
         (
             _CONTRACT,
             option("logs", nargs="+", metavar="LOG"),
@@ -282,39 +294,39 @@
         "--plan",
         default="deploy/capacity/size-to-plan-with.star",
         metavar="SIZE.star",
-        help="the numbers to plan with",
+        help="planned size of the deployment",
     ),
     option("--measurements", default="measurements", metavar="DIR"),
 )
 CAPACITY_COMMANDS: dict[str, Command] = {
     "show": Command(
         "capacity_show",
-        "what each role needs at the size, its budget, and what carries it",
+        "show what each role needs at the planned size, its budget, and the mechanism behind it",
         (
             *_SIZE_OPTIONS,
-            option("--role", metavar="NAME", help="one table alone"),
-            option("--write", metavar="PAGE", help="make the tables of that page anew"),
+            option("--role", metavar="NAME", help="print only the table of this role"),
+            option("--write", metavar="PAGE", help="regenerate the tables of that page"),
         ),
     ),
     "check": Command(
         "capacity_check",
-        "whether the page is what the committed measurements give; names the budgets passed",
+        "check the page against the committed measurements; list the exceeded budgets",
         (*_SIZE_OPTIONS, option("--page", default="docs/CAPACITY.md", metavar="PAGE")),
     ),
 }
 SCALE_COMMANDS: dict[str, Command] = {
     "run": Command(
         "scale_run",
-        "play a fleet's bad moments with simulated brokers, engines and control machines",
+        "run failure scenarios of a fleet with simulated brokers, engines and control machines",
         (
             _PLAN,
-            option("--seed", type=int, help="in place of the plan's"),
+            option("--seed", type=int, help="seed in place of the plan's"),
             option("--workers", type=int, help="processes"),
-            option("--name", metavar="NAME", help="of the result (the plan's file name)"),
+            option("--name", metavar="NAME", help="name of the result (the plan's file name)"),
             option(
                 "--only",
                 choices=["hollow", "real"],
-                help="the scenes on the step clock, or the real brokers",
+                help="run only the scenes on the step clock (hollow) or only real brokers (real)",
             ),
             option("--json", metavar="OUT"),
             option("--plot", metavar="OUT", help="SVG"),
@@ -323,11 +335,9 @@
     ),
 }
 COMMAND_GROUPS: dict[str, CommandGroup] = {
-    "capacity": CommandGroup(
-        "the size to plan with, and what it asks of each role", CAPACITY_COMMANDS
-    ),
-    "contract": CommandGroup("teams and what each was promised", CONTRACT_COMMANDS),
-    "scale": CommandGroup("the size to plan with, played on one machine", SCALE_COMMANDS),
+    "capacity": CommandGroup("planned size, and what each role needs for it", CAPACITY_COMMANDS),
+    "contract": CommandGroup("contracts: teams and what each is promised", CONTRACT_COMMANDS),
+    "scale": CommandGroup("simulate the planned size on one machine", SCALE_COMMANDS),
     "trace": CommandGroup("read, compile and replay published cluster traces", TRACE_COMMANDS),
-    "deadlines": CommandGroup("what became of requests' time", DEADLINES_COMMANDS),
+    "deadlines": CommandGroup("show where the time of requests was spent", DEADLINES_COMMANDS),
 }
--- a/umberusher/command_table.py
+++ b/umberusher/command_table.py
@@ -1,4 +1,4 @@
-"""The commands with one word, ``serve`` among them, and their options, as plain data."""
+"""The top-level commands, such as ``serve``, and their options, as plain data."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Option(NamedTuple):
-    """One option or positional argument: what ``ArgumentParser.add_argument`` is given."""
+    """One option or positional argument: the arguments of ``ArgumentParser.add_argument``."""
 
     names: tuple[str, ...]
     keywords: dict[str, object]
@@ -16,9 +16,9 @@
     """One command.
 
     Attributes:
-        module: The module in ``umberusher.commands`` whose ``run`` carries it out.
-        help_text: What it does.
-        options: Its options, in the order of the help.
+        module: The module in ``umberusher.commands`` whose ``run`` executes it.
+        help_text: The description of the command in the help.
+        options: Its options, in the order in which the help lists them.
     """
 
     module: str
@@ -35,7 +35,7 @@
     "--log-format",
     default="text",
     choices=["text", "json"],
-    help="form of the log on standard error",
+    help="format of the log on standard error",
 )
 TOP_LEVEL_COMMANDS: dict[str, Command] = {
     "serve": Command(
@@ -46,24 +46,24 @@
             option(
                 "--receipts",
                 action="store_true",
-                help="ask for a receipt of each request: nothing begins late at engines "
-                "that read slowly, for a line more a request",
+                help="request a receipt of each request from engines, so that none starts late "
+                "at an engine that reads slowly; costs one more line per request",
             ),
             option(
                 "--contract",
                 metavar="TEAMS.star",
-                help="teams and what each was promised; needs umberusher[tools]",
+                help="contract with the teams to enforce; needs umberusher[tools]",
             ),
             option(
                 "--log-format",
                 choices=["text", "json"],
                 help="structured log, with an event for each request that ends "
-                "late, expired or left; needs structlog",
+                "late, expired or abandoned by its client; needs structlog",
             ),
         ),
     ),
     "version": Command("version", "print the version", ()),
-    "check-config": Command("check_config", "read the configuration and say what it holds", ()),
+    "check-config": Command("check_config", "read the configuration and print a summary", ()),
     "demo": Command(
         "demo",
         "a short example replay; needs no configuration",
