--- a/umberusher/admin/backend.py
+++ b/umberusher/admin/backend.py
@@ -1,6 +1,6 @@
-"""What the admin server needs of the broker.
+"""The interface of the broker that the admin server uses.
 
-Type checkers alone import this module: a protocol holds memory, in each broker from its start on.
+Only type checkers import this module: a protocol class would use memory in each running broker.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 
 
 class AdminBackend(Protocol):
-    """What the calls do."""
+    """Executes the admin calls."""
 
     def is_ready(self) -> bool:
-        """Return whether this process can serve."""
+        """Return whether this process is ready for clients."""
 
     def metrics_text(self) -> str:
         """Return the metrics in the Prometheus text format."""
 
     def start_manual_drain(self, engine: str) -> bool:
-        """Take an engine out until it is called back; return whether its id is known."""
+        """Drain an engine until ``end_manual_drain``; return whether its id is known."""
 
     def end_manual_drain(self, engine: str) -> bool:
-        """Call an engine back; return whether its id is known."""
+        """End the manual drain of an engine; return whether its id is known."""
--- a/umberusher/admin/metrics.py
+++ b/umberusher/admin/metrics.py
@@ -62,11 +62,11 @@
 
 
 def deadline_families(account: DeadlineAccount, unsent: Mapping[str, int]) -> list[MetricFamily]:
-    """Return the counters of requests that ended late, expired or without their client.
+    """Return the counters of requests that ended late, expired or lost their client.
 
     Args:
         account: The counts of requests.
-        unsent: Attempts that were not sent since their time was over, by reason.
+        unsent: Attempts that were not sent for lack of time, by reason.
     """
     late_help = "Requests served after their class's aim."
     expired_help = "Requests that ended for want of time, by where they were."
--- a/umberusher/admin/server.py
+++ b/umberusher/admin/server.py
@@ -19,10 +19,10 @@
 log = logging.getLogger(__name__)
 
 MAX_CLIENTS = 12
-"""Connections at a time; their descriptors are reserved for them."""
+"""Simultaneous connections; the broker reserves descriptors for them."""
 
 MAX_ACCEPTS = 16
-"""Connections accepted at once, so that others get their turn."""
+"""Connections accepted in one batch, so that other descriptors are served in between."""
 
 LISTEN_BACKLOG = 128
 
@@ -30,16 +30,16 @@
 OUTBOUND_BUFFER_BYTES = 1 << 18
 
 CALL_TIMEOUT_MS = 3_000.0
-"""For a complete call, and for the client to read its answer."""
+"""Time limit for a complete call to arrive, and for the client to read its response."""
 
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 MAX_LOGGED_ID_CHARACTERS = 64
-"""Of an engine's id, which any client may have made up."""
+"""Logged characters of an engine's id, which a client can choose freely."""
 
 
 class AdminSession:
-    """One connection with its one call."""
+    """One connection, which carries one call."""
 
     __slots__ = (
         "_server",
@@ -64,7 +64,7 @@
         conn.on_released = self._on_released
 
     def _on_closed(self, _reason: str) -> None:
-        # One that closes gracefully keeps its descriptor, and so its place.
+        # A connection that is closing gracefully still holds its descriptor, so it is counted.
         if self.connection.state is State.CLOSED:
             self._on_released()
 
@@ -89,7 +89,7 @@
 
     Attributes:
         now_ms: The broker's time in milliseconds.
-        sessions: The open connections, in the order in which they came.
+        sessions: The open connections, in the order in which they were accepted.
         listener: The listener; None before it is opened.
     """
 
@@ -124,16 +124,17 @@
         self._loop.spawn(conn.serve())
 
     def _evict(self) -> None:
-        """Close one connection to make room: an answered one first, then a silent one.
+        """Close one connection to free its descriptor: an answered one first, then a silent one.
 
-        Guards good calls against clients that send nothing, or half a call, and stay.
+        This protects complete calls from clients that stay connected but send nothing or only half
+        a call.
         """
         if self.sessions:
             victim = min(self.sessions, key=_eviction_order)
             victim.connection.close("evicted")
 
     def respond(self, call: AdminCall | MalformedCall) -> AdminResponse:
-        """Carry out a call."""
+        """Execute a call and return its response."""
         if isinstance(call, MalformedCall):
             return AdminResponse(call.status, call.reason + "\n")
         match call.path:
@@ -166,7 +167,7 @@
         now_ms = self.now_ms()
         for session in list(self.sessions):
             if now_ms - session.started_ms > CALL_TIMEOUT_MS:
-                session.connection.close("took too long")
+                session.connection.close("call timed out")
 
     def close(self) -> None:
         """Close the listener and all connections."""
@@ -174,7 +175,7 @@
             self.listener.close()
             self.listener = None
         for session in list(self.sessions):
-            session.connection.close("the broker ends")
+            session.connection.close("broker is shutting down")
 
 
 def _eviction_order(session: AdminSession) -> tuple[bool, bool, float]:
@@ -182,7 +183,7 @@
 
 
 def _not_allowed(call: AdminCall, allowed_method: str) -> AdminResponse | None:
-    """Return the answer of a call that is made with another method; None where it is allowed."""
+    """Return the response to a call with a wrong method; None where the method is allowed."""
     if call.method == allowed_method:
         return None
     text = f"this call is made with {allowed_method}\n"
@@ -190,7 +191,7 @@
 
 
 def _engine_response(engine: str, state: str, is_known: bool) -> AdminResponse:
-    """Return the answer of a call that takes an engine out or calls it back."""
+    """Log a call that starts or ends a manual drain, and return its response."""
     log.info(
         "admin_engine_state_requested engine=%s state=%s known=%s",
         engine[:MAX_LOGGED_ID_CHARACTERS],
--- a/umberusher/broker/action_dispatch.py
+++ b/umberusher/broker/action_dispatch.py
@@ -1,4 +1,4 @@
-"""Carries out what the decisions order."""
+"""Executes the actions that the load balancer returns."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from umberusher.pipeline.request_registry import RequestRegistry
 from umberusher.upstream.upstream import Upstream
 
-if TYPE_CHECKING:  # Contracts come into memory only where they are used.
+if TYPE_CHECKING:  # Saves memory: only brokers that enforce contracts import the module.
     from umberusher.pipeline.contracts import ContractEnforcer
 
 log = logging.getLogger(__name__)
 
 
 class ActionDispatcher:
-    """Carries out each action at the stage that it is for.
+    """Passes each action to the component that executes it.
 
     Attributes:
-        handlers: What carries out an action, by the action's type.
+        handlers: The function that executes an action, by the action's type.
     """
 
     __slots__ = ("_contracts", "_loop", "_post", "_registry", "_upstream", "handlers")
--- a/umberusher/broker/admin_backend.py
+++ b/umberusher/broker/admin_backend.py
@@ -1,4 +1,4 @@
-"""What the admin calls do: readiness, metrics and manual drains."""
+"""Implements the admin calls: readiness, metrics and manual drains."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from umberusher.pipeline.request_registry import RequestRegistry
 from umberusher.upstream.upstream import Upstream
 
-if TYPE_CHECKING:  # Contracts come into memory only where they are used.
+if TYPE_CHECKING:  # Saves memory: only brokers that enforce contracts import the module.
     from umberusher.pipeline.contracts import ContractEnforcer
 
 
 class BrokerAdminBackend:
-    """Carries out admin calls on the broker's stages, as an ``AdminBackend``."""
+    """Implements ``AdminBackend`` on the broker's components."""
 
     __slots__ = (
         "_balancer",
@@ -53,15 +53,15 @@
         self._contracts = contracts
 
     def is_ready(self) -> bool:
-        """Return whether this process can serve."""
+        """Return whether this process is ready for clients."""
         return self._readiness.is_ready()
 
     def start_manual_drain(self, engine: str) -> bool:
-        """Take an engine out until it is called back; return whether its id is known."""
+        """Drain an engine until ``end_manual_drain``; return whether its id is known."""
         return self._endpoints.start_manual_drain(engine)
 
     def end_manual_drain(self, engine: str) -> bool:
-        """Call an engine back; return whether its id is known."""
+        """End the manual drain of an engine; return whether its id is known."""
         return self._endpoints.end_manual_drain(engine)
 
     def metrics_text(self) -> str:
--- a/umberusher/broker/broker.py
+++ b/umberusher/broker/broker.py
@@ -1,4 +1,4 @@
-"""The broker: its stages wired together, and the pump that feeds the decisions their events."""
+"""The broker process: connects its components and passes events to the load balancer."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 from umberusher.upstream.context import UpstreamSettings
 from umberusher.upstream.upstream import Upstream
 
-if TYPE_CHECKING:  # Contracts come into memory only where they are used.
+if TYPE_CHECKING:  # Saves memory: only brokers that enforce contracts import the module.
     from umberusher.pipeline.contracts import ContractEnforcer
 
 log = logging.getLogger(__name__)
 
 RESERVED_DESCRIPTORS = 48
-"""For listeners, the loop, the discovery service, admin clients and the standard streams."""
+"""Descriptors for listeners, the event loop, the discovery service, admin clients and stdio."""
 
 ENGINE_DESCRIPTOR_FRACTION = 0.3
-"""Of the other descriptors, those reserved for engine connections."""
+"""The share of the other descriptors that engine connections may use."""
 
 SWEEP_INTERVAL_MS = 100.0
 
@@ -62,10 +62,10 @@
     Attributes:
         config: The configuration.
         loop: The event loop.
-        timeline: The broker's time.
+        timeline: Converts between the clocks and the broker's time.
         now_ms: Returns the broker's time in milliseconds.
         contracts: Enforces the teams' contracts; None without contracts.
-        action_handlers: What carries out an action of the decisions, by the action's type.
+        action_handlers: The function that executes an action, by the action's type.
     """
 
     def __init__(
@@ -79,16 +79,17 @@
         make_contracts: Callable[[Timeline], ContractEnforcer] | None = None,
         receipts: bool = False,
     ) -> None:
-        """Wire a broker; it opens no socket before ``start``.
+        """Create a broker; it opens no socket before ``start``.
 
         Args:
             config: The configuration.
             loop: The event loop.
             unix_clock: Unix time in seconds.
             load_config: Reads the configuration for a reload; raises ConfigError.
-            handover_path: Where the processes of this broker meet; None without hot restart.
-            memory_mb: Returns the memory that this process holds; a test's holds more than that.
-            make_contracts: Makes what enforces the teams' contracts.
+            handover_path: Path of the Unix sockets for hot restart; None without hot restart.
+            memory_mb: Returns the memory of this process. Tests replace it, since a test process
+                holds more memory than a broker.
+            make_contracts: Creates the enforcer of the teams' contracts; None without contracts.
             receipts: Whether engines are asked for a receipt of each request.
         """
         self.config = config
@@ -97,7 +98,7 @@
         self.now_ms = self.timeline.now_ms
         self.contracts = make_contracts(self.timeline) if make_contracts else None
         self._events: deque[Event] = deque()
-        self._is_pumping = False
+        self._is_handling_events = False
         self._shutdown_request = ShutdownRequest(self.loop.clock)
         descriptors = config.max_descriptors - RESERVED_DESCRIPTORS
         engine_descriptors = int(descriptors * ENGINE_DESCRIPTOR_FRACTION)
@@ -107,7 +108,7 @@
         self._wire_hot_restart(handover_path, memory_mb)
         self._wire_operation(load_config or (lambda: config), memory_mb)
 
-    # -- Wiring
+    # -- Construction
 
     def _wire_decisions(self) -> None:
         config = self.config
@@ -234,26 +235,26 @@
         )
         self.admin = AdminServer(self.loop, self.now_ms, self.admin_backend)
 
-    # -- The event pump
+    # -- Event handling
 
     def post(self, event: Event) -> None:
-        """Give the decisions an event; one that an action brings about waits its turn."""
+        """Pass an event to the load balancer, after those that are already being handled."""
         if isinstance(event, AttemptEnded) and not self.endpoints.subset.covers_all:
             self._include_companions(event)
         self._events.append(event)
-        if self._is_pumping:
+        if self._is_handling_events:
             return
-        self._is_pumping = True
+        self._is_handling_events = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
-            self._is_pumping = False
+            self._is_handling_events = False
 
     def _include_companions(self, event: AttemptEnded) -> None:
-        """Have the decisions know where else a request may go that may have run already.
+        """Add the engines to the subset where a request that may have run may be retried.
 
-        They learn of these engines before they learn that the attempt has ended.
+        The load balancer must know these engines before it handles the end of the attempt.
         """
         if event.outcome is AttemptOutcome.SUCCEEDED:
             return
@@ -286,7 +287,7 @@
     # -- Start and end
 
     def start(self) -> None:
-        """Listen, apply the known endpoints and follow the discovery service.
+        """Open the listeners, apply the initial endpoints and start polling discovery.
 
         Raises:
             OSError: An address can't be bound.
@@ -308,7 +309,7 @@
         self.sweep()
 
     def _request_handover(self) -> HandoverState | None:
-        """Return what a predecessor hands over; None where this process starts by itself."""
+        """Return the state from a predecessor; None where this process starts without one."""
         path = self.hot_restart.listener.path
         if path is None:
             return None
@@ -324,17 +325,17 @@
         self.hot_restart.listen()
 
     def _listen_for_teams(self) -> None:
-        """Open the further ports that the teams' contracts name."""
+        """Open the additional ports that the teams' contracts name."""
         if self.contracts is not None:
             host = self.config.listen[0]
             for port in self.contracts.contract.teams_by_port:
                 self.frontend.listen_additionally((host, port))
 
     def _take_over_accepting(self) -> None:
-        """Accept in the predecessor's place once the endpoint list is as new as can be had.
+        """Accept clients in place of the predecessor once the endpoint list is up to date.
 
         The list that was handed over may be older than the last answer of the discovery service.
-        A process that shuts down leaves the listener where it is.
+        A process that is shutting down leaves accepting clients to the predecessor.
         """
         if self.readiness.is_serving or not self.readiness.accepts_clients():
             return
@@ -344,12 +345,14 @@
         log.info("hot_restart_accepting")
 
     def sweep(self) -> None:
-        """Do what is due from time to time."""
-        # First the next one: a fault below must not end the sweeps, and the shutdown with them.
+        """Run the periodic tasks."""
+        # The next sweep is scheduled first: an exception below must not end the sweeps, since
+        # the shutdown depends on them.
         self.loop.call_later(SWEEP_INTERVAL_MS, self.sweep)
         self.reloader.run_if_requested()
         if not self.loop.catching_up:
-            # Input may wait unread since this process was stopped: its senders were not silent.
+            # While the loop catches up after a stall, unread input may be pending: the peers that
+            # sent it must not be closed as silent.
             self.frontend.sweep()
             self.upstream.sweep()
         self.admin.sweep()
@@ -362,15 +365,15 @@
             self.loop.running = False
 
     def request_shutdown(self) -> None:
-        """Begin to end; safe to call from a signal handler."""
+        """Request a graceful shutdown; safe to call from a signal handler."""
         self.shutdown.request()
 
     def request_reload(self) -> None:
-        """Have the configuration read at the next sweep; safe to call from a signal handler."""
+        """Request a reload at the next sweep; safe to call from a signal handler."""
         self.reloader.request()
 
     def run(self) -> None:
-        """Serve until shutdown was requested and all that was admitted is answered.
+        """Serve until shutdown was requested and all admitted requests are answered.
 
         Raises:
             OSError: An address can't be bound.
@@ -394,5 +397,5 @@
 
 
 def _actions_after_failure(event: Event) -> list[Action]:
-    """Return what is done when the decisions fail: a request that arrived gets its answer."""
+    """Return the actions after an exception in the load balancer: a new request fails."""
     return [FailRequest(event.request)] if isinstance(event, RequestArrived) else []
--- a/umberusher/broker/memory_pressure.py
+++ b/umberusher/broker/memory_pressure.py
@@ -1,4 +1,4 @@
-"""The limits that all processes of one broker share, and what happens near the limit of memory."""
+"""Limits that all processes of one broker share, and admission under memory pressure."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from umberusher.upstream.upstream import Upstream
 
 PRESSURE_FRACTION = 0.75
-"""Of the memory limit, above which requests are admitted only while the crowd shrinks."""
+"""Fraction of the memory limit above which requests are rejected until half of the open ones have
+ended."""
 
 FULL_FRACTION = 0.92
-"""Of the memory limit, above which nothing is admitted."""
+"""Fraction of the memory limit above which no request is admitted."""
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 BYTES_PER_MB = 1e6
 
 
 def resident_mb() -> float:
-    """Return the memory that this process alone holds, in MB.
+    """Return the private resident memory of this process, in MB.
 
-    Pages of files are not counted: they are shared, and the system can take them back.
+    File-backed pages are not counted: they are shared, and the kernel can reclaim them.
     """
     with open("/proc/self/statm", encoding="ascii") as source:  # noqa: PTH123
         _, resident, shared, *_ = map(int, source.read().split())
@@ -32,11 +33,11 @@
 
 
 class MemoryPressure:
-    """Whether memory is short.
+    """Decides whether requests are admitted while memory is short.
 
     Attributes:
-        peak_open_requests: The most requests that were open since memory became short; None while
-            it is not.
+        peak_open_requests: The largest number of open requests since memory became short; None
+            while it is not.
     """
 
     __slots__ = ("peak_open_requests",)
@@ -45,15 +46,15 @@
         self.peak_open_requests: int | None = None
 
     def update(self, used_fraction: float, open_request_count: int) -> bool:
-        """Return whether nothing more is to be admitted.
+        """Return whether new requests must be rejected.
 
-        Above ``PRESSURE_FRACTION`` that holds until half of the open requests have ended. Guards
-        against being killed for memory, and against rejecting for ever: freed memory is used again
-        by the next requests, but seldom goes back to the system.
+        Above ``PRESSURE_FRACTION`` they are rejected until half of the open requests have ended.
+        This prevents an out-of-memory kill, and also rejecting forever: freed memory is reused by
+        the next requests, but seldom returned to the operating system.
 
         Args:
-            used_fraction: The memory that is held, as a fraction of the limit.
-            open_request_count: Requests that are open now.
+            used_fraction: The memory in use, as a fraction of the limit.
+            open_request_count: The number of open requests.
         """
         if used_fraction <= PRESSURE_FRACTION:
             self.peak_open_requests = None
@@ -63,7 +64,7 @@
 
 
 class SharedLimits:
-    """Applies the limits: what the other processes hold is not there for this one."""
+    """Applies the shared limits: usage of the other processes reduces what this one may use."""
 
     __slots__ = (
         "_admission",
@@ -96,7 +97,7 @@
         self.pressure = MemoryPressure()
 
     def update(self) -> None:
-        """Exchange what each process holds, and leave the others their part."""
+        """Exchange resource usage with the other processes and apply the remaining limits."""
         self._hot_restart.publish_usage()
         peers = self._hot_restart.usage_of_peers()
         self._frontend.peer_client_count = peers.client_count
--- a/umberusher/broker/readiness.py
+++ b/umberusher/broker/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this process can serve, and the log of what holds its start up."""
+"""Readiness of this process, and the log lines about its start."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LoggedStart(Enum):
-    """What the log says of the start so far."""
+    """What was logged about the start so far."""
 
     NOTHING = "nothing"
     NO_ENDPOINTS = "no endpoints"
@@ -26,11 +26,11 @@
 
 
 class Readiness:
-    """Whether clients should come.
+    """Determines whether this process accepts clients.
 
     Attributes:
         is_serving: Whether this process accepts clients, or did until a successor took over.
-        logged_start: What the log says of the start so far.
+        logged_start: What was logged about the start so far.
         endpoints: The endpoint list.
     """
 
@@ -63,24 +63,25 @@
         self.logged_start = LoggedStart.NOTHING
 
     def accepts_clients(self) -> bool:
-        """Return whether the endpoint list is as new as can be had, and no shutdown has begun.
+        """Return whether the endpoint list is up to date and no shutdown was requested.
 
-        Guards drains: what the configuration knows is as old as the start took, and the discovery
-        service may know of more. One that does not answer holds a start up for a bounded time only.
+        The endpoints of the configuration may be outdated when this process has started: the
+        discovery service may know of drains since. If it does not answer, it delays the start for
+        a bounded time only.
         """
         if self._shutdown_request.is_made or not self.endpoints.directory:
             return False
         return self._discovery.has_answered or self._elapsed_s() > MAX_DISCOVERY_WAIT_S
 
     def is_ready(self) -> bool:
-        """Return whether this process can serve."""
+        """Return whether this process is ready for clients."""
         return self.is_serving and self.accepts_clients()
 
     def _elapsed_s(self) -> float:
         return self._clock() - self._started_at_s
 
     def log_start(self) -> None:
-        """Log once when clients may come, and once before if no endpoint is known for long."""
+        """Log once when clients are accepted, and once before if no endpoint becomes known."""
         if self.logged_start is LoggedStart.READY or self._shutdown_request.is_made:
             return
         if self.accepts_clients():
--- a/umberusher/broker/reload.py
+++ b/umberusher/broker/reload.py
@@ -9,14 +9,14 @@
 from umberusher.config import Config, ConfigError
 from umberusher.discovery.client import DiscoveryClient
 
-if TYPE_CHECKING:  # Contracts come into memory only where they are used.
+if TYPE_CHECKING:  # Saves memory: only brokers that enforce contracts import the module.
     from umberusher.pipeline.contracts import ContractEnforcer
 
 log = logging.getLogger(__name__)
 
 
 class ConfigReloader:
-    """Follows the discovery service that the configuration names now.
+    """Reloads the teams' contracts and the address of the discovery service.
 
     Attributes:
         load_config: Reads the configuration; raises ConfigError.
@@ -38,17 +38,17 @@
         self.load_config = load_config
 
     def request(self) -> None:
-        """Have the configuration read at the next sweep; safe to call from a signal handler."""
+        """Request a reload at the next sweep; safe to call from a signal handler."""
         self._is_requested = True
 
     def run_if_requested(self) -> None:
-        """Read the configuration where that was requested."""
+        """Reload the configuration if that was requested."""
         if self._is_requested:
             self._is_requested = False
             self.run()
 
     def run(self) -> None:
-        """Read the configuration now; one that can't be used changes nothing."""
+        """Reload the configuration now; one that can't be used is logged and ignored."""
         if self._contracts is not None:
             self._contracts.reload()
         try:
--- a/umberusher/broker/restart_host.py
+++ b/umberusher/broker/restart_host.py
@@ -1,4 +1,4 @@
-"""The broker as hot restart sees it: what a successor is given, and what a peer changes here."""
+"""The broker's side of hot restart: exports state to a peer and applies a peer's changes."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from umberusher.protocol.discovery import WatchEvent, encode_endpoint_list
 from umberusher.upstream.upstream import Upstream
 
-if TYPE_CHECKING:  # Contracts come into memory only where they are used.
+if TYPE_CHECKING:  # Saves memory: only brokers that enforce contracts import the module.
     from umberusher.pipeline.contracts import ContractEnforcer
 
 
 class BrokerRestartHost:
-    """Gives and takes state on behalf of the broker's stages, as a ``RestartHost``."""
+    """Implements ``RestartHost``: exports and restores the state of the broker's components."""
 
     __slots__ = (
         "_contracts",
@@ -47,11 +47,11 @@
         self._shutdown_request = shutdown_request
         self._memory_mb = memory_mb
 
-    # -- What a peer is given
+    # -- State that is sent to a peer
 
     @property
     def listening_socket(self) -> socket.socket | None:
-        """The clients' listening socket; None where it is closed."""
+        """The listening socket for clients; None where it is closed."""
         listener = self._frontend.listener
         return listener.sock if listener else None
 
@@ -72,9 +72,10 @@
         return encode_endpoint_list(self._endpoints.revision, entries)
 
     def greeting(self) -> Greeting:
-        """Return what a successor is given besides the endpoint list.
+        """Return the state for a successor besides the endpoint list.
 
-        What is listed counts as once listed in the successor too.
+        It names the ids that were removed from the list, so that the successor accepts manual
+        drains of them too.
         """
         recalled = self._endpoints.recall_times()
         return Greeting(
@@ -85,22 +86,22 @@
         )
 
     def resource_usage(self) -> ResourceUsage:
-        """Return what this process holds of the joint limits."""
+        """Return how much of the shared limits this process uses."""
         memory_mb = round(self._memory_mb(), 1)
         return ResourceUsage(memory_mb, len(self._frontend.clients), self._upstream.pool.count)
 
     def later_team_budgets(self) -> JsonObject:
-        """Return how the teams' budgets changed since the greeting; empty without contracts."""
+        """Return the changes of the teams' budgets since the greeting; empty without contracts."""
         return self._contracts.export_later_counts() if self._contracts else {}
 
-    # -- What a peer changes here
+    # -- Changes that a peer requests
 
     def apply_watch_event(self, event: WatchEvent) -> None:
-        """Apply a watch event of the peer."""
+        """Apply a watch event from the peer."""
         self._endpoints.apply(event)
 
     def apply_manual_drain(self, engine: str, since_unix_ms: float | None) -> None:
-        """Begin or end a manual drain, as the peer has."""
+        """Start or end a manual drain that the peer has started or ended."""
         if since_unix_ms is None:
             self._endpoints.end_manual_drain(engine)
         else:
@@ -108,29 +109,29 @@
             self._endpoints.start_manual_drain(engine, since_unix_ms)
 
     def apply_team_budgets(self, state: JsonObject) -> None:
-        """Take the peer's state of the teams' budgets."""
+        """Restore the teams' budgets from the peer's state."""
         if self._contracts is not None:
             self._contracts.restore_state(state)
 
     def adopt_client(
         self, sock: socket.socket, open_calls: list[int], on_disconnect: Callable[[int], None]
     ) -> ClientConnection:
-        """Take over a client's connection from the peer, which answers these calls."""
+        """Adopt a client connection from the peer, which still answers the open calls."""
         return self._frontend.adopt_client(sock, open_calls, on_disconnect)
 
     def stop_accepting(self) -> None:
-        """Leave accepting clients to a successor."""
+        """Stop accepting clients, since a successor accepts them."""
         self._frontend.set_paused(True)
 
     def resume_accepting(self) -> bool:
-        """Accept clients again, unless this process shuts down; return whether it does."""
+        """Accept clients again unless shutdown was requested; return whether they are accepted."""
         if self._shutdown_request.is_made:
             return False
         self._frontend.set_paused(False)
         return True
 
     def restore(self, handover: HandoverState) -> None:
-        """Take what the predecessor hands over; it accepts clients until this process can."""
+        """Restore the predecessor's state; it accepts clients until this process is ready."""
         greeting = handover.greeting
         for event in handover.watch_events:
             self._endpoints.apply(event)
@@ -138,7 +139,7 @@
             self._endpoints.remember_removed(engine)
         for engine, since_unix_ms in greeting.manual_drains.items():
             self._endpoints.start_manual_drain(engine, since_unix_ms)
-        # Guards engines that warm up: the discovery service may not know when they started.
+        # Keeps recalled engines warming up: the discovery service may not know their start times.
         for engine, unix_ms in greeting.recalled.items():
             self._endpoints.restore_recall(engine, unix_ms)
         if greeting.teams:
--- a/umberusher/broker/shutdown.py
+++ b/umberusher/broker/shutdown.py
@@ -15,24 +15,25 @@
 log = logging.getLogger(__name__)
 
 ADMISSION_GRACE_S = 0.65
-"""Clients send calls for 0.6 s after SIGTERM; one that is admitted 0.7 s after it, and still open,
-is lost where SIGKILL ends the process."""
+"""Requests are admitted for this long after SIGTERM. Clients send calls for 0.6 s after it; a call
+that is admitted 0.7 s after it may still be open at SIGKILL and would be lost."""
 
 LISTENER_GRACE_S = 1.0
-"""The listener and idle connections stay open for this long: no call should come after it."""
+"""The listener and idle connections stay open for this long: no call should arrive later."""
 
 MAX_HANDOVER_S = 5.0
-"""With a successor the open requests have the longest deadline of any class, but at most this."""
+"""Upper bound of the time in which open requests may end while a successor accepts clients. That
+time is the longest deadline of any class."""
 
 REJECT_AFTER_HANDOVER_S = 0.25
-"""Beyond the time for the handover, after which the open requests are answered."""
+"""Time after the end of the handover when the open requests are rejected or failed."""
 
 EXIT_AFTER_HANDOVER_S = 0.45
-"""Beyond the time for the handover, after which the process ends."""
+"""Time after the end of the handover when the process exits."""
 
 
 class ShutdownRequest:
-    """Whether, and since when, this process is to end.
+    """Records whether and when a shutdown was requested.
 
     Attributes:
         made_at_s: When shutdown was requested, on the clock; None before.
@@ -50,7 +51,7 @@
         return self.made_at_s is not None
 
     def make(self) -> float:
-        """Request the shutdown; return when it was requested first."""
+        """Request the shutdown; return the time of the first request."""
         if self.made_at_s is None:
             self.made_at_s = self._clock()
         return self.made_at_s
@@ -61,14 +62,14 @@
 
 
 class ShutdownPhase(Enum):
-    """Where a graceful shutdown stands.
+    """The phase of a graceful shutdown.
 
     ======================  =====================================================================
     ``RUNNING``             No shutdown was requested.
-    ``GRACE``               Requests are admitted for a moment; the listener stays open.
-    ``DRAINING``            The listener is closed; each connection that owes nothing closes.
-    ``HANDING_OVER``        A successor accepts; it is passed each connection that owes nothing.
-                            It is entered from any phase, and never left.
+    ``GRACE``               Requests are still admitted for a short time; the listener is open.
+    ``DRAINING``            The listener is closed; each idle connection is closed.
+    ``HANDING_OVER``        A successor accepts clients and receives each idle connection. This
+                            phase can follow any other and is the last one.
     ======================  =====================================================================
     """
 
@@ -82,7 +83,7 @@
     """Ends this process without losing a request.
 
     Attributes:
-        phase: Where the shutdown stands.
+        phase: The current phase.
     """
 
     __slots__ = (
@@ -113,12 +114,12 @@
         self.phase = ShutdownPhase.RUNNING
 
     def request(self) -> None:
-        """Begin to end; safe to call from a signal handler."""
+        """Request the shutdown; safe to call from a signal handler."""
         if not self._request.is_made:
             self._admission.closes_at_s = self._request.make() + ADMISSION_GRACE_S
 
     def advance(self) -> bool:
-        """Do what is due now; return whether the process ends."""
+        """Run the steps that are due; return whether the process may exit."""
         if not self._request.is_made:
             return False
         elapsed_s = self._request.elapsed_s()
@@ -147,12 +148,12 @@
         return max(each.deadline_ms for each in self._classes) / 1000.0
 
     def _drain(self, elapsed_s: float) -> bool:
-        """Close what owes nothing; return whether all is closed, or was waited for long enough.
+        """Close idle connections; return whether all are closed or the time limit has passed.
 
-        In this order no request is lost: what the listener holds is accepted, then each connection
-        that owes nothing shuts its write side and is read out; the process ends once the clients
-        have closed too. One that reads no answers must not hold the end up: after the longest
-        deadline it is left.
+        This order loses no request: pending connections of the listener are accepted, then each
+        idle connection shuts down its write side and is read to its end; the process exits once
+        the clients have closed too. A client that reads no answers must not delay the exit: after
+        the longest deadline the process no longer waits for it.
         """
         if self._frontend.listener:
             self._frontend.stop_listening()
@@ -162,9 +163,9 @@
         return elapsed_s > LISTENER_GRACE_S + self._longest_deadline_s()
 
     def _hand_over(self, elapsed_s: float) -> bool:
-        """Answer what is open while a successor accepts; return whether the process ends.
+        """Answer open requests while a successor accepts clients; return whether to exit.
 
-        It ends before SIGKILL would end it.
+        The process exits before SIGKILL would end it.
         """
         overtime_s = elapsed_s - min(self._longest_deadline_s(), MAX_HANDOVER_S)
         if overtime_s > REJECT_AFTER_HANDOVER_S:
@@ -179,7 +180,7 @@
         return is_done or overtime_s > EXIT_AFTER_HANDOVER_S
 
     def _answer_open_requests(self) -> None:
-        """Reject or fail all that is open, and admit nothing more."""
+        """Reject or fail all open requests, and admit no more."""
         self._admission.memory_pressure = True
         requests = self._registry.requests.values()
         self._admission.end_all([request for request in requests if request.is_open])
--- a/umberusher/cli.py
+++ b/umberusher/cli.py
@@ -52,8 +52,8 @@
 def _parser(words: Sequence[str]) -> argparse.ArgumentParser:
     """Return the parser for a command line.
 
-    Where the first words name a command, it holds that command alone: the options of all others
-    would stay in the memory of ``serve``.
+    Where the first words name a command, the parser has no other command: the options of all
+    others would stay in the memory of ``serve``.
     """
     parser = argparse.ArgumentParser(
         prog="umberusher", description="A broker for queries on a fleet of engines."
--- a/umberusher/config.py
+++ b/umberusher/config.py
@@ -51,11 +51,11 @@
         discovery: The address of the discovery service.
         initial_endpoints: The endpoints that are known before the discovery service answers.
         settings: The settings of the decisions.
-        memory_mb: The memory limit of all processes of this broker.
-        max_descriptors: The limit of descriptors of all processes of this broker.
+        memory_mb: The memory limit of all processes of this broker together.
+        max_descriptors: The limit of descriptors of all processes of this broker together.
         max_requests_per_connection: Requests that one engine connection carries at a time.
-        connect_timeout_ms: For an engine connection to come up.
-        keepalive_ms: After which engines close an idle connection.
+        connect_timeout_ms: Time limit for establishing an engine connection.
+        keepalive_ms: Idle time after which engines close a connection.
         max_open_requests: Requests that may be open at a time.
         admin: The address of the admin listener; None for none.
     """
@@ -85,7 +85,7 @@
 
     Args:
         raw: The JSON value.
-        environment: ``LB_NAME``, ``LB_LISTEN`` and ``LB_ADMIN`` go before the value's fields.
+        environment: ``LB_NAME``, ``LB_LISTEN`` and ``LB_ADMIN`` override the value's fields.
 
     Raises:
         ConfigError: A field is missing or can't be used.
@@ -101,7 +101,7 @@
 
 
 def _parse(raw: dict[str, Any], environment: Mapping[str, str]) -> Config:
-    """Return the configuration; the first field that can't be used ends it."""
+    """Return the configuration; the first field that can't be used raises an error."""
     limits = raw.get("limits") or {}
     settings = raw["settings"]
     socket_limits = settings.get("limits") or {}
--- a/umberusher/deadlines/__init__.py
+++ b/umberusher/deadlines/__init__.py
@@ -1,1 +1,1 @@
-"""Deadlines: the timeline, time budgets, network delays, cancels, and the account. No I/O."""
+"""Deadlines: the timeline, time budgets, network delays, cancels and accounting. No I/O."""
--- a/umberusher/deadlines/account.py
+++ b/umberusher/deadlines/account.py
@@ -13,23 +13,23 @@
 from enum import Enum, StrEnum
 from itertools import pairwise
 
-# The names of the fields of the structured events, and of the places in the metrics. The first
-# phase is the time that a request was held at the broker with no attempt out.
+# Names of fields of the structured events and label values of the metrics. The first phase is the
+# time that a request spent in the broker without an attempt in flight.
 PHASES = ("held", "connecting", "outbox", "way", "node", "pages")
 
-# Guards the disk and the core when thousands of requests expire together; the next event counts
-# those left out.
+# Limits disk writes and CPU when thousands of requests expire together; the next event has the
+# number of those that were suppressed.
 MAX_EVENTS_PER_SECOND = 50
 
-# A request without a result that had spent this part of its budget ended for want of time.
+# A request that ends without a result counts as expired after this fraction of its budget.
 EXPIRED_MIN_FRACTION = 0.5
 
-# A client that leaves this close to its deadline has waited until it.
+# A client that disconnects this close to its deadline counts as having waited until it.
 DISCONNECT_MARGIN_MS = 1.0
 
 
 class FinalOutcome(StrEnum):
-    """The final answer to a request; the values are the words of metrics and logs."""
+    """The final answer to a request; the values appear in metrics and logs."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -37,16 +37,16 @@
 
 
 class DeadlineEnd(Enum):
-    """How a request ended whose time is accounted for; the values are those of the events."""
+    """How a request that is accounted for ended; the values appear in the events."""
 
     LATE = "late"
     """Served after its class's latency objective."""
 
     EXPIRED = "expired"
-    """No result, and much of its budget was spent here."""
+    """It has no result, and much of its budget had passed."""
 
     DISCONNECTED = "left"
-    """Its client did not wait."""
+    """Its client disconnected before the deadline."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -75,21 +75,24 @@
 ) -> dict[str, float]:
     """Split an attempt's time into phases; the sum is what has passed since it was created.
 
-    The network delay can't be measured here: the estimate is taken from what lies between the last
-    byte sent and the first byte of the response.
+    The network delay can't be measured here: its estimate is subtracted from the time between the
+    last byte sent and the first byte of the response.
     """
-    marks = [timestamps.created_ms]
+    boundaries_ms = [timestamps.created_ms]
     for timestamp in (
         timestamps.connected_ms,
         timestamps.write_started_ms,
         timestamps.fully_sent_ms,
         timestamps.first_response_ms,
     ):
-        # A connection may be older than the attempt, and a step that was not reached has not ended
-        # yet.
-        marks.append(min(max(timestamp, marks[-1]), now_ms) if timestamp else now_ms)
-    marks.append(now_ms)
-    connecting, queued, writing, waiting, pages = (end - start for start, end in pairwise(marks))
+        # A connection may be older than the attempt; a step that was not reached counts as now.
+        boundaries_ms.append(
+            min(max(timestamp, boundaries_ms[-1]), now_ms) if timestamp else now_ms
+        )
+    boundaries_ms.append(now_ms)
+    connecting, queued, writing, waiting, pages = (
+        end - start for start, end in pairwise(boundaries_ms)
+    )
     network_delay = min(network_delay_ms, waiting)
     return {
         "connecting": connecting,
@@ -102,7 +105,7 @@
 
 @dataclass(slots=True)
 class RequestSummary:
-    """What the account needs to know of a request."""
+    """The data of a request that accounting needs."""
 
     request_id: str
     query_class: str
@@ -123,12 +126,12 @@
     """Counts requests that ended late, expired or were abandoned, and emits an event for each.
 
     Attributes:
-        emit_event: Writes one structured event; None where no structured log is wanted.
+        emit_event: Writes one structured event; None without a structured log.
         late: Requests served after their latency objective, by class.
         expired: Expired requests, by the phase they were in.
-        disconnected: Requests whose client did not wait, by the phase they were in.
-        cancel_outcomes: What came of cancels, by the outcome's name.
-        wasted_work_ms: Work of engines for clients that had left, as far as it is known.
+        disconnected: Requests whose client disconnected early, by the phase they were in.
+        cancel_outcomes: Outcomes of cancels, by the outcome's name.
+        wasted_work_ms: Work of engines for clients that had disconnected, as far as it is known.
     """
 
     now_ms: Callable[[], float]
@@ -152,7 +155,7 @@
 
         Args:
             summary: The request.
-            outcome: Its final answer; None where its client left.
+            outcome: Its final answer; None where its client disconnected.
             timestamps: Those of the attempt that is in flight, if there is one.
 
         Returns:
@@ -171,7 +174,7 @@
             return DeadlineEnd.DISCONNECTED
         budget_ms = summary.deadline_ms - summary.received_ms
         if outcome is not None and now - summary.received_ms < EXPIRED_MIN_FRACTION * budget_ms:
-            return None  # rejected or failed with time to spare
+            return None  # rejected or failed early in its budget
         self.expired[phase] += 1
         return DeadlineEnd.EXPIRED
 
@@ -180,17 +183,17 @@
         summary: RequestSummary,
         end: DeadlineEnd,
         phase: str,
-        spent_ms: Mapping[str, float],
+        phase_times_ms: Mapping[str, float],
     ) -> None:
-        """Emit an event that says where the request's time went.
+        """Emit an event with the request's time by phase.
 
         Args:
             summary: The request.
             end: How it ended.
             phase: The phase in which it ended.
-            spent_ms: Time of all its attempts by phase; the rest of its time it was held.
+            phase_times_ms: Time of all its attempts by phase; its remaining time was held time.
         """
-        if self.emit_event is None or not self._take_event_slot():
+        if self.emit_event is None or not self._allow_event():
             return
         took_ms = self.now_ms() - summary.received_ms
         event: dict[str, object] = {
@@ -202,16 +205,16 @@
             "attempts": summary.attempt_count,
             "budget_ms": round(summary.deadline_ms - summary.received_ms, 1),
             "took_ms": round(took_ms, 1),
-            "held_ms": round(max(took_ms - sum(spent_ms.values()), 0.0), 1),
+            "held_ms": round(max(took_ms - sum(phase_times_ms.values()), 0.0), 1),
         }
-        event |= {f"{name}_ms": round(spent_ms.get(name, 0.0), 1) for name in PHASES[1:]}
+        event |= {f"{name}_ms": round(phase_times_ms.get(name, 0.0), 1) for name in PHASES[1:]}
         if self._suppressed_events:
             event["left_out"] = self._suppressed_events
             self._suppressed_events = 0
         self.emit_event(event)
 
-    def _take_event_slot(self) -> bool:
-        """Return whether another event may be emitted in this second; count it either way."""
+    def _allow_event(self) -> bool:
+        """Count an event; return whether it may be emitted in this second."""
         second = int(self.now_ms() / 1000.0)
         if second != self._current_second:
             self._current_second = second
@@ -223,14 +226,15 @@
         return True
 
     def record_wasted_work(self, work_ms: float | None, since_ms: float, stopped: bool) -> None:
-        """Count an engine's work for a client that has left.
+        """Count an engine's work for a client that has disconnected.
 
-        The engines report no cost of what nobody waits for, so the client's own estimate counts
-        where there is one.
+        Engines report no cost of an abandoned query, so the client's estimate counts where there
+        is one.
 
-        Args: work_ms: The client's estimate of the work, if it gave one. since_ms: When the engine
-            had the request. stopped: Whether the engine was stopped, so that no more than the time
-            until now was wasted.
+        Args:
+            work_ms: The client's estimate of the work, if it gave one.
+            since_ms: When the engine had the request.
+            stopped: Whether the query was stopped, so that at most the time until now was wasted.
         """
         elapsed_ms = max(self.now_ms() - since_ms, 0.0)
         if work_ms is None:
--- a/umberusher/deadlines/budget.py
+++ b/umberusher/deadlines/budget.py
@@ -1,6 +1,6 @@
-"""A request's time: when it ends, what is left of it, and what time an engine may be given.
+"""The time budget of a request: its deadline, the remaining time and the time limit for an engine.
 
-No attempt is sent that could begin at the engine after the request's deadline.
+No attempt is sent that could start at the engine after the request's deadline.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 
 class BudgetExhausted(Enum):
-    """Why no attempt may be sent any more; the values are the labels of the metrics."""
+    """Why no attempt may be sent any more; the values are label values of the metrics."""
 
     EXPIRED = "OVER"
     """The deadline has passed."""
 
     NETWORK_DELAY = "NO_WAY"
-    """The network delay exceeds the time that is left."""
+    """The network delay exceeds the remaining time."""
 
 
 @dataclass(slots=True, frozen=True)
 class TimeBudget:
-    """The time of a request, on the broker's timeline.
+    """The time budget of a request, on the broker's timeline.
 
-    It may be exhausted from the start: a client may ask with no time at all, or too late.
+    It may be exhausted from the start: a client may send a request without any time, or too late.
     """
 
     received_ms: float
@@ -38,15 +38,15 @@
     def engine_ttl_ms(
         self, now_ms: float, network_delay_ms: float, timeout_at_ms: float | None = None
     ) -> int | BudgetExhausted:
-        """Return the time that an engine may be given, which counts from its own receipt.
+        """Return the time limit for an engine, which counts it from receipt of the request.
 
-        Truncated to whole milliseconds, never rounded up, so that what begins in the last of them
-        begins in time.
+        Truncated to whole milliseconds, never rounded up, so that a query that starts in the last
+        of them starts in time.
 
         Args:
-            now_ms: The time now.
+            now_ms: The current time.
             network_delay_ms: The upper bound of the time until the engine has the request.
-            timeout_at_ms: When the attempt ends, where that is before the request's deadline.
+            timeout_at_ms: When the attempt times out, if that is before the request's deadline.
         """
         end_ms = self.deadline_ms
         if timeout_at_ms is not None and timeout_at_ms < end_ms:
--- a/umberusher/deadlines/cancels.py
+++ b/umberusher/deadlines/cancels.py
@@ -1,10 +1,10 @@
-"""What came of the STOPs on one connection: cancelled, overtaken, not run, or unknown. No I/O.
+"""Tracks the outcomes of the STOPs on one connection: cancelled, overtaken, not run or unknown.
 
-Used where the settings allow cancellation. STOP has no answer, but an engine reads the lines of a
-connection in order: the answer to a probe that was written behind a STOP proves that the STOP was
-read. One probe is in flight at a time and proves all STOPs before it, so a burst of clients that
-leave costs one line a round trip, not one each. Where probes are forbidden none is written: a STOP
-that no line answers is unknown after its time.
+No I/O. Used where the settings allow cancellation. STOP has no response, but an engine reads the
+lines of a connection in order: the response to a probe that was written after a STOP proves that
+the STOP was read. One probe is in flight at a time and confirms all STOPs before it, so a burst of
+disconnecting clients costs one line per round trip instead of one per client. Where probes are
+forbidden none is written: the outcome of a STOP without a reply is unknown after a time limit.
 """
 
 from __future__ import annotations
@@ -13,21 +13,20 @@
 from enum import Enum
 from typing import Generic, NamedTuple, TypeVar
 
-# After this time the outcome of an unanswered STOP is unknown: the attempt's ending must not wait
-# forever.
+# After this time the outcome of an unanswered STOP counts as unknown, so that each attempt ends.
 CANCEL_TIMEOUT_MS = 250.0
 
-# The timer that checks for it may fire this much early.
+# The timer for the cancel timeout may fire early by this much.
 TIMER_TOLERANCE_MS = 1.0
 
-# On one connection; bounds memory where an engine reads no STOPs while clients come and leave.
+# Per connection; bounds memory where an engine reads no STOPs while clients keep disconnecting.
 MAX_PENDING_CANCELS = 256
 
 OwnerT = TypeVar("OwnerT")
 
 
 class CancelOutcome(Enum):
-    """What came of a STOP; the names are the labels of the metrics."""
+    """The outcome of a STOP; the member names are label values of the metrics."""
 
     CANCELLED = "cancelled"
     OVERTOOK = "an answer overtook it"
@@ -51,10 +50,10 @@
     request_id: str
     sent_ms: float
     owner: OwnerT
-    """What waits for the outcome."""
+    """The object that waits for the outcome."""
 
     probed: bool = False
-    """Whether the probe that is in flight was written behind it."""
+    """Whether the probe that is in flight was written after it."""
 
 
 class ResolvedCancel(NamedTuple, Generic[OwnerT]):
@@ -65,7 +64,7 @@
 
 
 class ConfirmedCancels(NamedTuple, Generic[OwnerT]):
-    """The STOPs that a probe proved, and whether the next probe is to be written for later ones."""
+    """The STOPs that a probe confirmed, and whether to write another probe for later ones."""
 
     cancels: list[PendingCancel[OwnerT]]
     probe_again: bool
@@ -75,7 +74,7 @@
     """The pending STOPs of one connection, in the order in which they were written.
 
     Args:
-        uses_probes: Whether probes may be written behind STOPs.
+        uses_probes: Whether probes may be written after STOPs.
     """
 
     __slots__ = ("pending", "probe_in_flight", "uses_probes")
@@ -86,7 +85,7 @@
         self.probe_in_flight = False
 
     def add(self, request_id: str, now_ms: float, owner: OwnerT) -> bool:
-        """Add a STOP that was written; return whether a probe is to be written behind it."""
+        """Add a STOP that was written; return whether to write a probe after it."""
         self.pending[request_id] = PendingCancel(request_id, now_ms, owner)
         return self._start_probe()
 
@@ -99,7 +98,7 @@
         return True
 
     def confirm_probed(self) -> ConfirmedCancels[OwnerT]:
-        """Remove and return the STOPs that the answered probe was written behind."""
+        """Remove and return the STOPs that the answered probe confirms."""
         self.probe_in_flight = False
         confirmed = [cancel for cancel in self.pending.values() if cancel.probed]
         for cancel in confirmed:
@@ -107,7 +106,7 @@
         return ConfirmedCancels(confirmed, self._start_probe())
 
     def resolve(self, request_id: str, reply_word: str) -> ResolvedCancel[OwnerT] | None:
-        """Resolve a STOP by a reply to its request; return None for one that settles nothing."""
+        """Resolve a STOP by a reply to its request; return None if that shows no outcome."""
         outcome = OUTCOME_BY_REPLY.get(reply_word)
         if outcome is None or request_id not in self.pending:
             return None
@@ -121,7 +120,7 @@
         return self.pending.pop(request_id)
 
     def pop_all(self) -> list[PendingCancel[OwnerT]]:
-        """Remove and return all STOPs: the connection has closed, no more will be known."""
+        """Remove and return all STOPs, whose outcomes stay unknown once the connection closed."""
         cancels = list(self.pending.values())
         self.pending = {}
         return cancels
--- a/umberusher/deadlines/disposition.py
+++ b/umberusher/deadlines/disposition.py
@@ -1,7 +1,7 @@
-"""What is done with an attempt that is no longer wanted, by where its bytes are. A table, no I/O.
+"""How an attempt is abandoned, by the location of its request's bytes. A table, no I/O.
 
-``docs/deadlines.md`` holds the same table in words. A location is a proof: what has not reached an
-engine completely has not run, and what has may have run.
+``docs/deadlines.md`` describes the same table. The location is a proof: a request that has not
+reached an engine completely has not run, and one that has may have run.
 """
 
 from __future__ import annotations
@@ -14,39 +14,39 @@
     """Where the bytes of an attempt's request are."""
 
     QUEUED = auto()
-    """None is written: the connection is being opened, or they wait in its outbox."""
+    """No byte is written: the connection is being opened, or they are in its outbox."""
 
     PARTLY_WRITTEN = auto()
     """Writing has begun, and the kernel does not have the last byte."""
 
     IN_KERNEL = auto()
-    """The kernel has all of them, and the other machine has not acknowledged the last one."""
+    """The kernel has all bytes, and the remote host has not acknowledged the last one."""
 
     AT_ENGINE = auto()
-    """The other machine has all of them."""
+    """The remote host has all bytes."""
 
     RESPONSE_STARTED = auto()
-    """Pages of the response are coming."""
+    """Pages of the response are arriving."""
 
 
 class SendAction(Enum):
-    """What is done at the socket."""
+    """The action at the socket."""
 
     WITHDRAW = auto()
-    """Take the request out of the outbox."""
+    """Remove the request from the outbox."""
 
     CLOSE_CONNECTION = auto()
-    """Close the connection, so that the engine does not get the rest."""
+    """Close the connection, so that the engine does not receive the remaining bytes."""
 
     SEND_STOP = auto()
-    """Write STOP behind the request, once."""
+    """Write STOP after the request, once."""
 
     SEND_END = auto()
     """Write END, once, so that the engine frees the pages."""
 
 
 class ExecutionProof(Enum):
-    """What the decisions may conclude of the attempt."""
+    """What the load balancer may conclude about the attempt."""
 
     NEVER_RAN = auto()
     MAY_HAVE_RUN = auto()
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Disposition:
-    """What is done, and what that proves."""
+    """The action for an attempt, and what is proved about its execution."""
 
     action: SendAction
     proof: ExecutionProof
@@ -70,20 +70,20 @@
 def choose_disposition(
     location: ByteLocation, is_exclusive: bool, unresponsive: bool = False
 ) -> Disposition:
-    """Return what to do with an attempt that is no longer wanted.
+    """Return how to abandon an attempt.
 
-    A passed deadline and a client that left are alike here: nobody reads the response. A connection
-    is not closed where that would end other attempts: they are wanted, and a non-idempotent one
-    among them would stay unresolved. Once the kernel has all bytes a close proves nothing: the
-    other machine may be taking the rest at that moment.
+    A passed deadline and a disconnected client are treated alike: nobody reads the response. A
+    connection is not closed where that would end other attempts: their clients still wait, and the
+    result of a non-idempotent one would stay unknown. Once the kernel has all bytes, a close proves
+    nothing: the remote host may receive the last ones at that moment.
 
     Args:
         location: Where the bytes of the attempt are.
         is_exclusive: Whether the connection carries nothing else that a close would end.
-        unresponsive: Whether the engine may not have read the request yet and would begin it late,
+        unresponsive: Whether the engine may not have read the request yet and would start it late,
             for example since a health check on the connection has long been unanswered and nothing
-            else has arrived. A STOP behind the request would be read as late, so the connection is
-            closed.
+            else has arrived. A STOP after the request would be read just as late, so the connection
+            is closed.
     """
     if location is ByteLocation.QUEUED:
         return _WITHDRAW
--- a/umberusher/deadlines/network_delay.py
+++ b/umberusher/deadlines/network_delay.py
@@ -1,17 +1,17 @@
 """Estimates the network delay to each engine from round trips of health checks.
 
-An engine counts a request's time from its own receipt, so the time that is left there is what is
-left here less the network delay. The delay one way is part of a round trip and so never longer; the
-shortest round trip of a window is the nearest bound. Only health checks and receipts count as round
-trips. A TCP handshake does not: the kernel of a stopped process completes it, and so does whatever
-stands before the engine (a load balancer, a SYN proxy).
+An engine counts a request's time limit from receipt, so the limit is the time remaining here minus
+the network delay. The one-way delay is part of a round trip and so never longer; the shortest round
+trip of a window is the tightest bound. Only health checks and receipts count as round trips. A TCP
+handshake does not: the kernel of a stopped process completes it, and so does a load balancer or SYN
+proxy in front of the engine.
 
 The minimum is kept with three samples (Kathleen Nichols' windowed minimum, as described with BBR:
 Cardwell and others, 2016): the minimum of the window, the minimum after it, and the minimum after
 that. So an old minimum expires without a list of samples.
 
-A connection may be slower than its engine: what lies unread before a request on it delays that
-request alone. So the latest round trip over the connection itself counts where it is longer.
+A connection may be slower than the others to its engine: unread data before a request delays only
+that connection. So the latest round trip over the connection itself counts where it is longer.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 # For an engine that has answered no health check yet: longer than any delay within a region.
 UNKNOWN_DELAY_MS = 50.0
 
-# For the millisecond that an engine's time is truncated to, and for the writing itself.
+# Covers the truncation of an engine's time limit to whole milliseconds, and the write itself.
 DELAY_MARGIN_MS = 1.0
 
-# A longer round trip is an error of measurement.
+# A longer round trip is a measurement error.
 MAX_ROUND_TRIP_MS = 2_000.0
 
-# A connection that has been silent for longer is given up, so a request need not allow for more.
+# A connection that has been silent for longer is abandoned, so a request need not allow for more.
 MAX_CONNECTION_DELAY_MS = 500.0
 
-# How long the latest round trip counts where it is longer than the minimum: network paths change.
+# How long a connection's latest round trip counts where it exceeds the minimum: paths change.
 RECENT_ROUND_TRIP_MS = 5_000.0
 
-# Bounds memory: new engine ids keep coming, and the oldest estimate is dropped.
+# Bounds memory, since new engine ids keep appearing; the oldest estimate is dropped.
 MAX_ENGINES = 4_096
 
 
@@ -50,7 +50,7 @@
 class WindowedMin:
     """The minimum of a moving window in constant memory.
 
-    It may be too high, by leaving out at most a third of the window.
+    It may be too high, since samples of at most a third of the window may be left out.
     """
 
     __slots__ = ("best", "window_ms")
@@ -76,7 +76,7 @@
         return self.best[0].value
 
     def _expire(self, new: Sample) -> None:
-        """Replace a minimum that has left the window; take the next ones from its later parts."""
+        """Replace a minimum older than the window; later parts of it give the next candidates."""
         best = self.best
         age_ms = new.at_ms - best[0].at_ms
         if age_ms > self.window_ms:
@@ -105,7 +105,7 @@
         self.engines: dict[str, WindowedMin] = {}
 
     def observe(self, engine: str, at_ms: float, round_trip_ms: float) -> None:
-        """Add a round trip without work in it: that of a health check or a receipt."""
+        """Add a round trip that includes no query work: of a health check or a receipt."""
         if not 0.0 <= round_trip_ms <= MAX_ROUND_TRIP_MS:
             return
         minimum = self.engines.get(engine)
@@ -117,7 +117,7 @@
         self.engines[engine] = WindowedMin(MINIMUM_WINDOW_MS, at_ms, round_trip_ms)
 
     def allowance_ms(self, engine: str) -> float:
-        """Return an upper bound of the delay to an engine when nothing waits before the request."""
+        """Return an upper bound of the delay to an engine when no data precedes the request."""
         minimum = self.engines.get(engine)
         return (UNKNOWN_DELAY_MS if minimum is None else minimum.value) + DELAY_MARGIN_MS
 
@@ -132,12 +132,12 @@
     """When the oldest unanswered health check was written."""
 
     def probe_sent(self, at_ms: float) -> None:
-        """Note that a health check, which is answered at once, was written."""
+        """Record that a health check, which engines answer at once, was written."""
         if self.pending_since_ms is None:
             self.pending_since_ms = at_ms
 
     def probe_answered(self, at_ms: float, round_trip_ms: float) -> None:
-        """Note its answer."""
+        """Record the response to a health check."""
         self.round_trip_ms = min(round_trip_ms, MAX_ROUND_TRIP_MS)
         self.measured_ms = at_ms
         self.pending_since_ms = None
--- a/umberusher/deadlines/report.py
+++ b/umberusher/deadlines/report.py
@@ -22,7 +22,7 @@
 
 MAX_DEFECTS = 100
 
-# A number beyond it is a defect.
+# A field with a larger number is a defect.
 MAX_NUMBER = 1e12
 
 TEXT_FIELDS = ("rid", "class", "end", "place")
@@ -39,14 +39,14 @@
 
 @dataclass(slots=True)
 class EndGroup:
-    """Requests of one class that ended alike.
+    """Requests of one class that ended in the same way.
 
     Attributes:
         count: Their number.
-        phase_sums_ms: Their time by phase, in sum.
+        phase_sums_ms: The sum of their times, by phase.
         counts_by_phase: Their number by the phase in which they ended.
-        took_ms: Their times.
-        budget_sum_ms: Their budgets, in sum.
+        took_ms: The total time of each.
+        budget_sum_ms: The sum of their budgets.
     """
 
     count: int = 0
@@ -66,7 +66,7 @@
             self.phase_sums_ms[name] += event[f"{name}_ms"]
 
     def document(self) -> dict[str, Any]:
-        """Return the group as JSON: means of the phases, quantiles of the whole time."""
+        """Return the group as JSON: means of the phases, quantiles of the total time."""
         return {
             "requests": self.count,
             "mean_ms": {
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class LogSummary:
-    """What a log holds.
+    """The summary of a log.
 
     Attributes:
         groups: The requests by class and end.
@@ -133,7 +133,7 @@
             self.slowest = by_time[:MAX_SLOWEST]
 
     def sort_slowest(self) -> None:
-        """Order the slowest requests, and keep no more of them than are wanted."""
+        """Sort the slowest requests and keep ``MAX_SLOWEST`` of them."""
         ordered = sorted(self.slowest, key=lambda each: (-each["took_ms"], each["rid"]))
         self.slowest = ordered[:MAX_SLOWEST]
 
@@ -173,7 +173,7 @@
         fields = _parse_event(line)
         if fields is None:
             if _looks_like_event(line):
-                summary.add_defect(f"{name}:{number}: the event breaks off")
+                summary.add_defect(f"{name}:{number}: the event is truncated")
             continue
         try:
             event = _validate(fields)
@@ -186,12 +186,12 @@
 
 
 def _looks_like_event(line: str) -> bool:
-    """Return whether a line that is no event has begun as one."""
+    """Return whether a line that can't be parsed looks like the start of an event."""
     return f'"event": "{EVENT_NAME}"' in line or f"event={EVENT_NAME} " in line
 
 
 def _parse_event(line: str) -> dict[str, Any] | None:
-    """Return the fields of an event; None for a line that is none."""
+    """Return the fields of an event; None for any other line."""
     line = line.strip()
     if line.startswith("{"):
         try:
@@ -225,7 +225,7 @@
     except (TypeError, ValueError):
         shown = repr(str(value)[:_SHOWN_CHARACTERS])
         raise EventError(f"{name} must be a number, not {shown}") from None
-    # A budget may be exhausted when the request arrives.
+    # A budget may be negative: the request may arrive after its deadline.
     if not 0.0 <= number < MAX_NUMBER and name != "budget_ms":
         raise EventError(f"{name} is out of range: {number:g}")
     return number
--- a/umberusher/deadlines/timeline.py
+++ b/umberusher/deadlines/timeline.py
@@ -1,9 +1,9 @@
-"""One timeline for the broker: monotonic time that reads like Unix time.
+"""The broker's timeline: monotonic time with an offset to Unix time.
 
-The offset between both clocks is taken once, at the start, so that a step of the Unix clock neither
-ends nor extends what is open. A Unix time that comes from outside (when an engine started, since
-when one is drained manually) is converted with the offset of that moment, so that a step of the
-clock shows there alone.
+The offset between both clocks is read once, at the start, so that a step of the Unix clock neither
+ends nor extends open requests. A Unix time that is received from outside (when an engine started,
+since when one is drained manually) is converted with the current offset, so that a step of the
+clock affects only such times.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
         self._offset = unix() - monotonic()
 
     def now_ms(self) -> float:
-        """Return the time now; it never goes back."""
+        """Return the current time; it never decreases."""
         return (self._monotonic() + self._offset) * 1000.0
 
     def at_ms(self, monotonic_s: float) -> float:
-        """Return a moment of the monotonic clock, in seconds, on the timeline."""
+        """Return the timeline's value of a monotonic time in seconds."""
         return (monotonic_s + self._offset) * 1000.0
 
     def unix_ms(self) -> float:
-        """Return the Unix clock's time now: for what others read."""
+        """Return the current Unix time, for values that other processes read."""
         return self._unix() * 1000.0
 
     def drift_ms(self) -> float:
-        """Return how far the Unix clock has moved against the timeline since the start."""
+        """Return how far the Unix clock has moved relative to the timeline since the start."""
         return self.unix_ms() - self.now_ms()
 
     def from_unix_ms(self, unix_ms: float) -> float:
-        """Return the moment of a Unix time, which came from outside, on the timeline."""
+        """Return the timeline's value of a Unix time that was received from outside."""
         return unix_ms - self.drift_ms()
