--- a/tests/admin/test_manual_drains.py
+++ b/tests/admin/test_manual_drains.py
@@ -1,4 +1,4 @@
-"""Manual drains by admin calls, and what they do to requests."""
+"""Manual drains by admin calls, and their effect on requests."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     assert found["svc_engines_excluded"] == 1 and found["svc_engines_known"] == 2
     rig.broker.endpoints.apply(rig.notice(("s-0", "s-0", "DRAINING")))
     assert call(rig, "PUT", "/ops/engines/up/s-0")[0] == 200
-    assert rig.broker.endpoints.find("s-0") is None  # the board's newest word applies
+    assert rig.broker.endpoints.find("s-0") is None  # the discovery service's latest state applies
     rig.broker.endpoints.apply(rig.notice(("s-0", "s-0", "SERVING")))
     assert rig.broker.endpoints.find("s-0") and engine.up
 
 
-def test_manual_drain_withdraws_what_waits_for_a_connection(rig):
+def test_manual_drain_withdraws_requests_that_wait_for_a_connection(rig):
     rig = rig(2)
     rid = rig.ask(rig.client())
     attempt = rig.broker.registry.requests[rid].attempt
@@ -62,7 +62,7 @@
     assert engine.ejected_until < 0 and engine.health_checked_at < 0 and engine.up
     rig.broker.endpoints.apply(
         rig.notice(("s-0", "s-0", "SERVING"))
-    )  # with no start told it stays cold
+    )  # without a start time it stays in warm-up
     assert engine.started_ms == rig.now * 1000
     second = rig.ask(rig.client())
     rig.expect(rig.accept("s-0"), f"REQ {second} ".encode())
@@ -70,23 +70,25 @@
 
 
 def test_manual_drains_are_bounded_and_keep_listed_engines():
-    taken = []
-    found = EndpointRegistry(taken.append, lambda: 5.0)
-    found.apply(WatchEvent(1, True, (EndpointUpdate("s-0", EndpointState.UP),), {"s-0": ("h", 1)}))
+    published = []
+    registry = EndpointRegistry(published.append, lambda: 5.0)
+    registry.apply(
+        WatchEvent(1, True, (EndpointUpdate("s-0", EndpointState.UP),), {"s-0": ("h", 1)})
+    )
     for number in range(manual_drains.MAX_REMOVED_IDS + 50):
-        found.remember_removed(f"s-{number}")
-        found.start_manual_drain(f"s-{number}")
+        registry.remember_removed(f"s-{number}")
+        registry.start_manual_drain(f"s-{number}")
     assert (
-        len(found.removed_ids) <= manual_drains.MAX_REMOVED_IDS
-        and len(found.manual_drains) <= manual_drains.MAX_MANUAL_DRAINS
+        len(registry.removed_ids) <= manual_drains.MAX_REMOVED_IDS
+        and len(registry.manual_drains) <= manual_drains.MAX_MANUAL_DRAINS
     )
     assert (
-        "s-0" in found.manual_drains
-        and found.start_manual_drain("s-0")
-        and not found.start_manual_drain("s-1")
-        and found.end_manual_drain("s-0")
+        "s-0" in registry.manual_drains
+        and registry.start_manual_drain("s-0")
+        and not registry.start_manual_drain("s-1")
+        and registry.end_manual_drain("s-0")
     )
     assert (
-        taken[1].entries[0].state is EndpointState.DRAINING
-        and taken[-1].entries[0].state is EndpointState.UP
+        published[1].entries[0].state is EndpointState.DRAINING
+        and published[-1].entries[0].state is EndpointState.UP
     )
--- a/tests/admin/test_metrics.py
+++ b/tests/admin/test_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics against what peers saw, and their text."""
+"""The metrics compared with what the peers observed, and their text format."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from umberusher.deadlines.account import DeadlineAccount
 
 
-def test_metrics_count_what_peers_saw(rig):
+def test_metrics_match_what_peers_observed(rig):
     rig = rig()
     open_admin(rig)
     assert set(read_metrics(rig).values()) == {0.0, 1.0}
@@ -28,7 +28,7 @@
     assert read_metrics(rig)["svc_attempts_total"] == 1
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
     rig.answer(client)
-    rig.broker.admission.memory_pressure = True  # refused before the decisions hear of it
+    rig.broker.admission.memory_pressure = True  # rejected before the load balancer receives it
     client.sock.send(
         execute(7, {"method": "load", "rid": f"{7:016x}", "budget": "900", "obj": "k"}, b"select 1")
     )
@@ -46,11 +46,11 @@
     assert found["svc_in_flight"] == 0 and found["svc_attempts_total"] == 1
 
 
-def test_in_flight_falls_with_the_answer_while_the_request_is_kept(rig):
+def test_in_flight_decreases_with_the_interrupt_while_the_request_is_kept(rig):
     rig = rig()
     client, rid, _ = rig.begun()
-    call_off = struct.pack(">Ii9siBhiB", 0x80010004, 9, b"interrupt", 2, 8, 1, 1, 0)
-    client.sock.send(struct.pack(">i", len(call_off)) + call_off)
+    interrupt = struct.pack(">Ii9siBhiB", 0x80010004, 9, b"interrupt", 2, 8, 1, 1, 0)
+    client.sock.send(struct.pack(">i", len(interrupt)) + interrupt)
     rig.until(lambda: not rig.broker.registry.in_flight)
 
 
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -27,7 +27,7 @@
         ("G\0T", "/ops/stats", "", 400),
     ],
 )
-def test_server_answers_its_calls_only(rig, method, path, more, status):
+def test_server_answers_only_its_own_calls(rig, method, path, more, status):
     rig = rig()
     open_admin(rig)
     if status is None:
@@ -50,7 +50,7 @@
     assert call(rig, "GET", "/ops/readiness")[0] == 503
 
 
-def test_silent_and_half_calls_never_take_the_place_of_a_good_call(rig):
+def test_silent_and_partial_calls_never_displace_a_complete_call(rig):
     rig = rig()
     open_admin(rig)
     for number in range(3 * admin.MAX_CLIENTS):
@@ -71,7 +71,7 @@
     caller = send_call(rig, b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
     rig.expect(caller, b"ready")
     (kept,) = rig.broker.admin.sessions
-    kept.protocol = None  # would fail if it were given anything more
+    kept.protocol = None  # would raise if any more input were passed to it
     caller.sock.send(b"x" * 4096)
     rig.later(100)
     assert kept in rig.broker.admin.sessions and not len(kept.connection.inbound)
--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -1,4 +1,4 @@
-"""The broker on loopback sockets, with a clock of the test's own: one request's life, and what can go wrong."""
+"""Tests of the broker on loopback sockets with a simulated clock: the course of a request, and its failures."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("word", ["reset", "FAULT", "page"])
-def test_a_load_that_may_have_run_fails_and_is_not_sent_again(rig, word):
+def test_load_that_may_have_run_fails_and_is_not_retried(rig, word):
     rig = rig(2)
     client = rig.client()
     rid = rig.ask(client, "load", obj="k")
@@ -57,7 +57,7 @@
     )
 
 
-def test_what_an_engine_calls_over_is_answered_at_once_and_no_engine_is_left_out(rig):
+def test_late_reply_rejects_the_request_at_once_and_ejects_no_engine(rig):
     rig = rig(2)
     client = rig.client()
     rid = rig.ask(client)
@@ -71,7 +71,7 @@
     )
 
 
-def test_sweeps_go_on_after_a_fault(rig, monkeypatch):
+def test_sweeps_continue_after_an_exception(rig, monkeypatch):
     rig = rig()
     monkeypatch.setattr(type(rig.broker.upstream), "sweep", lambda self: 1 / 0)
     rig.later(300)
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("word", ["SHED"])
-def test_what_never_ran_goes_to_another_engine(rig, word):
+def test_request_that_never_ran_is_retried_on_another_engine(rig, word):
     rig = rig(2)
     rid = rig.ask(rig.client(), "load", obj="k")
     first = rig.broker.registry.requests[rid].attempt.engine
@@ -95,7 +95,7 @@
     rig.expect(other, f"REQ {rid} lane=load".encode())
 
 
-def test_a_refused_connection_and_one_that_never_comes_up_prove_that_nothing_ran(rig):
+def test_refused_connection_proves_that_the_request_did_not_run(rig):
     rig = rig(2)
     port = rig.listeners["s-0"].getsockname()[1]
     rig.listeners["s-0"].close()
@@ -106,13 +106,13 @@
     rig.listeners["s-0"] = socket.create_server(("127.0.0.1", port))
 
 
-def test_an_interrupt_stops_the_attempt_and_nothing_is_answered(rig):
+def test_interrupt_stops_the_attempt_and_gets_no_answer(rig):
     rig = rig()
     client, rid, engine = rig.begun()
     call = struct.pack(">Ii9siBhiB", 0x80010004, 9, b"interrupt", 2, 8, 1, 1, 0)
     client.sock.send(struct.pack(">i", len(call)) + call)
     rig.expect(engine, f"STOP {rid}\r\n".encode())
-    engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())  # late: nobody waits for it
+    engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())  # late: the request ended
     rig.later(3000)
     assert (
         client.read() == b""
@@ -121,7 +121,7 @@
     )
 
 
-def test_a_silent_engine_costs_one_refusal_before_the_deadline_and_a_stop(rig):
+def test_silent_engine_causes_one_rejection_before_the_deadline_and_a_stop(rig):
     rig = rig()
     client, rid, engine = rig.begun()
     rig.later(1980)
@@ -135,11 +135,11 @@
 
 
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
-def test_a_send_that_has_not_begun_is_not_written_after_the_news(rig, state):
+def test_unwritten_request_is_not_sent_after_its_engine_drains_or_is_removed(rig, state):
     rig = rig()
     rid = rig.ask(rig.client())
     attempt = rig.broker.registry.requests[rid].attempt
-    if attempt.progress < 2:  # still connecting; else the kernel was faster and it has begun
+    if attempt.progress < 2:  # still connecting; else the kernel was faster and writing began
         rig.broker.endpoints.apply(rig.notice(("s-0", "s-0", state)))
         assert attempt.ended and attempt.carrier.transport.state.value == "closed"
         assert rig.broker.registry.outcome_counts["attempt no connection"] == 1
@@ -147,7 +147,7 @@
     assert rig.broker.registry.requests[rid].attempt is None or attempt.progress >= 2
 
 
-def test_a_new_engine_at_an_old_address_gets_a_connection_of_its_own(rig):
+def test_new_engine_at_an_old_address_gets_its_own_connection(rig):
     rig = rig()
     first = rig.ask(rig.client())
     old = rig.accept("s-0")
@@ -159,7 +159,7 @@
     assert second.encode() not in old.read()
 
 
-def test_a_connection_about_to_idle_out_is_not_used_again(rig):
+def test_connection_near_its_idle_timeout_is_not_reused(rig):
     rig = rig()
     client, rid, engine = rig.begun()
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
@@ -170,14 +170,14 @@
     assert engine.read() is not None and engine.ended
 
 
-def test_a_silent_board_is_asked_again_over_a_new_connection(rig):
+def test_silent_discovery_service_is_polled_again_over_a_new_connection(rig):
     rig = rig()
     rig.expect(rig.board, b"GET /board/poll?watch=1&linger=")
     rig.later(3000)
     rig.expect(rig.accept("board"), b"GET /board/poll?watch=1&linger=")
 
 
-def test_a_board_that_breaks_off_is_asked_again_at_once(rig):
+def test_discovery_service_that_truncates_its_answer_is_polled_again_at_once(rig):
     rig = rig()
     rig.expect(rig.board, b"GET")
     rig.board.sock.send(b'HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{"rev":2,')
@@ -201,7 +201,7 @@
         b"YES count=1 0\r\n\r\n",
     ],
 )
-def test_a_spoilt_answer_is_never_served_and_its_connection_closes(rig, line):
+def test_malformed_response_is_never_served_and_closes_its_connection(rig, line):
     rig = rig()
     client = rig.client()
     rid = rig.ask(client, "load", obj="k").encode()
@@ -213,7 +213,7 @@
     assert rig.broker.registry.outcome_counts["served"] == 0
 
 
-def test_what_comes_twice_or_under_an_unknown_id_is_dropped_and_the_connection_kept(rig):
+def test_duplicate_and_unknown_responses_are_dropped_and_the_connection_stays_open(rig):
     rig = rig()
     client, rid, engine = rig.begun()
     once = f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode()
@@ -244,7 +244,7 @@
         ({"est": "\u0661"}, b""),
     ],
 )
-def test_a_bad_field_or_statement_is_an_application_exception(rig, more, body):
+def test_invalid_field_or_statement_is_an_application_exception(rig, more, body):
     rig = rig()
     client = rig.client()
     client.sock.send(
@@ -253,11 +253,11 @@
     assert rig.answer(client).startswith(struct.pack(">I", 0x80010003))
     assert (
         not rig.broker.balancer.retry_budget.requests and not rig.broker.balancer.requests
-    )  # the decisions have not heard of it
-    assert rig.ask(client) in rig.broker.registry.requests  # the connection goes on
+    )  # the load balancer did not receive it
+    assert rig.ask(client) in rig.broker.registry.requests  # the connection stays usable
 
 
-def test_an_id_that_is_open_already_fails(rig):
+def test_request_with_the_id_of_an_open_request_fails(rig):
     rig = rig()
     client = rig.client()
     rid = rig.ask(client)
@@ -269,7 +269,7 @@
     assert list(rig.broker.registry.requests) == [rid]
 
 
-def test_a_frame_too_large_closes_its_connection_only(rig):
+def test_oversized_frame_closes_only_its_own_connection(rig):
     rig = rig()
     client, other = rig.client(), rig.client()
     client.sock.send(b"\x7f\xff\xff\xff")
@@ -277,7 +277,7 @@
     assert rig.ask(other) in rig.broker.registry.requests
 
 
-def test_with_all_places_taken_the_quietest_idle_client_makes_room(rig):
+def test_idle_client_is_evicted_when_the_client_limit_is_reached(rig):
     rig = rig()
     rig.broker.frontend.max_clients = 2
     busy, quiet = rig.client(), rig.client()
@@ -288,7 +288,7 @@
     assert not busy.ended and len(rig.broker.frontend.clients) == 2
 
 
-def test_a_client_that_floods_and_takes_no_answers_is_read_no_further_and_then_goes_on(rig):
+def test_client_that_floods_without_reading_answers_is_paused_and_resumed(rig):
     rig = rig()
     client = rig.client()
     rig.until(lambda: rig.broker.frontend.clients)
@@ -306,11 +306,11 @@
         except BlockingIOError:
             pass
         rig.broker.loop.step(0)
-    (front,) = rig.broker.frontend.clients
+    (client_connection,) = rig.broker.frontend.clients
     assert (
-        front.write_blocked
-        and len(front.connection.outbox) <= 65
-        and len(front.deferred_calls) == MAX_DEFERRED_CALLS
+        client_connection.write_blocked
+        and len(client_connection.connection.outbox) <= 65
+        and len(client_connection.deferred_calls) == MAX_DEFERRED_CALLS
     )
     while sent < len(data):
         before = sent
@@ -320,37 +320,37 @@
             pass
         client.read()
         rig.broker.loop.step(0)
-        assert sent > before or front.connection.state.value == "open"
+        assert sent > before or client_connection.connection.state.value == "open"
     rig.until(lambda: client.read().count(b"\x80\x01\x00\x03") == 9000, 3000)
 
 
-def test_a_board_that_does_not_wait_is_not_asked_in_a_circle(rig):
+def test_discovery_service_that_answers_at_once_is_not_polled_in_a_busy_loop(rig):
     rig = rig()
     for _ in range(50):
-        asked = rig.board.read().count(b"GET")
+        poll_count = rig.board.read().count(b"GET")
         rig.board.sock.send(
             b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n" + b'{"rev":1,"notices":[]}'
         )
         rig.broker.loop.step(0)
-    assert rig.board.read().count(b"GET") == asked <= 2
+    assert rig.board.read().count(b"GET") == poll_count <= 2
 
 
-def test_a_first_answer_with_nothing_is_followed_by_a_poll_at_once(rig):
-    """Found on a day on which a zone was lost with its brokers: five that started anew got such an answer, rested
-    400 ms, and sent to engines that were gone before their start."""
+def test_empty_first_answer_is_followed_by_an_immediate_poll(rig):
+    """Guards against requests to removed engines: after the loss of a zone with its brokers, five that restarted got
+    such an answer, waited 400 ms, and sent to engines that had been removed before their start."""
     rig = rig()
     rig.until(lambda: b"GET" in rig.board.read())
-    asked = rig.board.read().count(b"GET")
+    poll_count = rig.board.read().count(b"GET")
     rig.board.sock.send(
         b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n" + b'{"rev":1,"notices":[]}'
     )
     for _ in range(40):
         rig.now += 0.001
         rig.broker.loop.step(0)
-    assert rig.board.read().count(b"GET") == asked + 1
+    assert rig.board.read().count(b"GET") == poll_count + 1
 
 
-def test_the_decisions_hear_of_a_drain_before_the_sends_that_it_takes_back(rig):
+def test_load_balancer_handles_a_drain_before_the_attempts_that_it_withdraws(rig):
     rig = rig(2)
     rid = rig.ask(rig.client())
     attempt = rig.broker.registry.requests[rid].attempt
@@ -362,27 +362,27 @@
     assert attempt.ended and again.number == 1 and again.engine != attempt.engine
 
 
-def test_a_client_that_says_nothing_or_half_a_call_is_closed_and_one_that_asked_is_kept(rig):
+def test_client_without_a_complete_call_is_closed_and_one_that_made_a_call_is_kept(rig):
     rig = rig()
-    asked, silent, half = rig.client(), rig.client(), rig.client()
-    asked.sock.send(execute(1, {}, b"x"))  # turned away, but it was a whole call
-    half.sock.send(b"\0\0\1\0abc")
+    active, silent, partial = rig.client(), rig.client(), rig.client()
+    active.sock.send(execute(1, {}, b"x"))  # rejected, but it was a complete call
+    partial.sock.send(b"\0\0\1\0abc")
     rig.until(lambda: len(rig.broker.frontend.clients) == 3)
     rig.later(1800)
-    half.sock.send(b"d")  # a drip is no whole call
+    partial.sock.send(b"d")  # one more byte does not complete the call
     rig.later(300)
     rig.until(lambda: silent.read() is not None and silent.ended)
-    assert not half.read() and not half.ended
-    rig.later(800)  # but there is an end to drips, within the 3 s that such a client is owed
-    rig.until(lambda: half.read() is not None and half.ended)
+    assert not partial.read() and not partial.ended
+    rig.later(800)  # slow partial calls are limited too, within the 3 s that such a client must get
+    rig.until(lambda: partial.read() is not None and partial.ended)
     rig.later(4000)
-    assert asked.read() and not asked.ended
-    asked.sock.send(b"\0\0\1")
+    assert active.read() and not active.ended
+    active.sock.send(b"\0\0\1")
     rig.later(2500)
-    assert asked.read() and asked.ended
+    assert active.read() and active.ended
 
 
-def test_a_client_waiting_for_its_answer_is_not_closed_for_half_a_call_behind_it(rig):
+def test_client_waiting_for_its_answer_is_not_closed_for_a_partial_call(rig):
     rig = rig()
     client = rig.client()
     rid = rig.ask(client, "load", obj="k", budget="20000")
@@ -391,7 +391,7 @@
     assert rid in rig.broker.registry.requests and not client.read() and not client.ended
 
 
-def test_calls_beyond_those_that_clients_promise_are_refused_at_once(rig):
+def test_calls_above_the_limit_of_a_client_are_rejected_at_once(rig):
     rig = rig()
     client = rig.client()
     calls = [
@@ -403,14 +403,14 @@
     assert len(rig.broker.registry.requests) == 32
 
 
-def test_a_request_withdrawn_before_it_was_written_is_held_against_no_engine(rig):
+def test_request_withdrawn_before_it_was_written_counts_against_no_engine(rig):
     rig = rig()
     rig.ask(rig.client())
-    (ticket,) = rig.broker.registry.requests.values()
-    attempt = ticket.attempt
+    (request,) = rig.broker.registry.requests.values()
+    attempt = request.attempt
     attempt.carrier.transport.outbox.clear()
-    attempt.carrier.transport.outbox.append(attempt.carrier.messages[ticket.request_id])
-    rig.broker.admission.disconnect(ticket)
+    attempt.carrier.transport.outbox.append(attempt.carrier.messages[request.request_id])
+    rig.broker.admission.disconnect(request)
     assert attempt.ended and rig.broker.registry.outcome_counts == {"attempt moot": 1}
     assert (
         rig.broker.balancer.engines["s-0"].ejected_until < 0
@@ -418,7 +418,7 @@
     )
 
 
-def test_no_descriptor_for_an_engine_is_held_against_no_engine(rig):
+def test_lack_of_descriptors_counts_against_no_engine(rig):
     rig = rig()
     rig.broker.upstream.pool.max_connections = 0
     rig.ask(rig.client())
@@ -429,61 +429,63 @@
 
 
 @pytest.mark.parametrize(
-    "part", [b"HIT count=1 6\r\na\t", b"HI", b"HIT count=2 6\r\na\t1\t2\n\r\n"]
+    "response", [b"HIT count=1 6\r\na\t", b"HI", b"HIT count=2 6\r\na\t1\t2\n\r\n"]
 )
-def test_an_answer_that_stops_half_way_ends_its_connection_for_all_on_it(rig, part):
+def test_truncated_response_closes_its_connection_for_all_requests_on_it(rig, response):
     rig = rig()
     client = rig.client()
     first, second = rig.ask(client, "load", obj="k"), rig.ask(client, "load", obj="l")
     engine = rig.accept("s-0")
     rig.expect(engine, second.encode())
-    engine.sock.send(first.encode() + b" " + part)
+    engine.sock.send(first.encode() + b" " + response)
     rig.later(1900)
     for _ in range(2):
         assert struct.pack(">bh", 12, 2) in rig.answer(client)
     rig.until(lambda: engine.read() is not None and engine.ended)
 
 
-def test_a_connection_that_the_engine_has_closed_is_not_written_to(rig):
+def test_connection_closed_by_the_engine_is_not_written_to(rig):
     rig = rig()
     client, rid, engine = rig.begun()
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
     rig.answer(client)
-    (link,) = rig.broker.upstream.pool.by_engine["s-0"]
-    link.health_checks.clear()
+    (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
+    connection.health_checks.clear()
     engine.sock.close()  # the loop has not seen it when the next request comes
     client.sock.send(
         execute(9, {"method": "load", "rid": "9" * 16, "budget": "900", "obj": "k"}, b"select 1")
     )
     next(iter(rig.broker.frontend.clients)).connection._read()
     assert (
-        link.transport.state.value == "closed"
+        connection.transport.state.value == "closed"
         and rig.broker.registry.requests["9" * 16].attempt.number == 0
     )
     rig.expect(rig.accept("s-0"), b"REQ " + b"9" * 16)
 
 
-def test_with_all_places_taken_one_that_never_asked_goes_before_one_that_did(rig):
+def test_client_that_never_made_a_call_is_evicted_before_one_that_did(rig):
     rig = rig()
     rig.broker.frontend.max_clients = 2
-    asked, silent = rig.client(), rig.client()
-    asked.sock.send(execute(1, {}, b"x"))
-    rig.until(lambda: asked.read())
+    active, silent = rig.client(), rig.client()
+    active.sock.send(execute(1, {}, b"x"))
+    rig.until(lambda: active.read())
     rig.later(100)
     silent.sock.send(b"\0")
     rig.ask(rig.client())
     rig.until(lambda: silent.read() is not None and silent.ended)
-    assert not asked.read() or not asked.ended
+    assert not active.read() or not active.ended
 
 
-def test_large_calls_under_way_are_bounded_by_the_memory(rig):
+def test_large_calls_being_received_are_bounded_by_the_memory_limit(rig):
     rig = rig()
-    front = rig.broker.frontend
-    assert front.max_frame_bytes * front.max_large_calls <= rig.broker.config.memory_mb * 1e6 / 8
-    front.max_large_calls = 1
+    frontend = rig.broker.frontend
+    assert (
+        frontend.max_frame_bytes * frontend.max_large_calls <= rig.broker.config.memory_mb * 1e6 / 8
+    )
+    frontend.max_large_calls = 1
     first, second = rig.client(), rig.client()
     for peer in (first, second):
-        peer.sock.send(struct.pack(">i", front.max_frame_bytes))
+        peer.sock.send(struct.pack(">i", frontend.max_frame_bytes))
         for _ in range(20):
             try:
                 peer.sock.send(b"x" * 4096)
@@ -494,19 +496,19 @@
     assert not first.read() and not first.ended
 
 
-def test_a_whole_result_is_served_though_its_connection_fails_at_the_end(rig, monkeypatch):
+def test_complete_result_is_served_even_if_its_connection_fails_at_the_end(rig, monkeypatch):
     rig = rig()
     client, rid, engine = rig.begun()
-    (link,) = rig.broker.upstream.pool.by_engine["s-0"]
+    (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
     monkeypatch.setattr(
-        EngineConnection, "write", lambda self, command: link.transport.close("write: EPIPE")
+        EngineConnection, "write", lambda self, command: connection.transport.close("write: EPIPE")
     )
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
     assert b"a\t1\t2\n" in rig.answer(client)
     assert rig.broker.registry.outcome_counts["attempt served"] == 1
 
 
-def test_a_connection_that_brings_nothing_is_dead_once_its_engine_answers_on_another(rig):
+def test_silent_connection_is_closed_once_its_engine_responds_on_another(rig):
     rig = rig()
     client = rig.client()
     rid = rig.ask(client, "load", obj="k", budget="20000")
@@ -514,8 +516,8 @@
     rig.expect(engine, b"REQ")
     rig.broker.upstream.health_checks.start("s-0")
     rig.later(800)
-    (link,) = rig.broker.upstream.pool.by_engine["s-0"]
-    assert link.unresponsive and rid in rig.broker.registry.requests
+    (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
+    assert connection.unresponsive and rid in rig.broker.registry.requests
     rig.later(1800)
     rig.broker.upstream.health_checks.start("s-0")
     other = rig.accept("s-0")
@@ -525,18 +527,18 @@
     assert struct.pack(">bh", 12, 2) in rig.answer(client)  # Aborted: it may have run
 
 
-def test_a_connection_that_brings_anything_is_not_dead(rig):
+def test_connection_that_delivers_any_data_is_not_unresponsive(rig):
     rig = rig()
     client, rid, engine = rig.begun()
     rig.broker.upstream.health_checks.start("s-0")
     rig.later(300)
     engine.sock.send(f"{rid} INFO why=done,reading=0.1 0\r\n\r\n".encode())
     rig.later(500)
-    (link,) = rig.broker.upstream.pool.by_engine["s-0"]
-    assert not link.unresponsive and not link.health_checks
+    (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
+    assert not connection.unresponsive and not connection.health_checks
 
 
-def test_a_probe_on_a_connection_that_resets_does_not_make_its_engine_mute(rig):
+def test_health_check_on_a_reset_connection_does_not_mark_its_engine_unresponsive(rig):
     rig = rig()
     client, rid, engine = rig.begun()
     rig.broker.upstream.health_checks.start("s-0")
@@ -548,7 +550,7 @@
     assert rig.broker.balancer.engines["s-0"].unresponsive
 
 
-def test_an_answer_in_small_pieces_is_waited_for_while_they_come(rig):
+def test_response_in_small_pieces_is_awaited_while_they_arrive(rig):
     rig = rig()
     client, rid, engine = rig.begun()
     for piece in (f"{rid} HI", "T count=1", " 6\r\n", "a\t", "1\t2\n\r\n"):
@@ -558,7 +560,7 @@
     assert b"a\t1\t2\n" in rig.answer(client)
 
 
-def test_pages_that_stop_end_their_own_request_only(rig):
+def test_missing_pages_end_only_their_own_request(rig):
     rig = rig()
     client = rig.client()
     first, second = rig.ask(client, "load", obj="k"), rig.ask(client, "load", obj="l")
@@ -570,10 +572,10 @@
     rig.later(800)
     assert struct.pack(">bh", 12, 2) in rig.answer(client)  # Aborted: it has run
     rig.expect(engine, b"END " + first.encode())
-    (link,) = rig.broker.upstream.pool.by_engine["s-0"]
-    assert list(link.attempts) == [second]
+    (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
+    assert list(connection.attempts) == [second]
     engine.sock.send(
         first.encode() + b" PART pos=1 6\r\nb\t1\t2\n\r\n"
-    )  # late: nobody waits for it
+    )  # late: the request has ended
     engine.sock.send(second.encode() + b" HIT count=1 6\r\nc\t1\t2\n\r\n")
     assert b"c\t1\t2\n" in rig.answer(client)
--- a/tests/broker/test_many_engines.py
+++ b/tests/broker/test_many_engines.py
@@ -12,7 +12,7 @@
 
 
 def many(rig, count: int, state: str = "SERVING", reset: bool = False):
-    """A notice of so many engines, all at one address."""
+    """Return a watch event with ``count`` engines, all at one address."""
     return rig.notice(*[(f"e-{number:05d}", "s-0", state) for number in range(count)], reset=reset)
 
 
@@ -44,7 +44,7 @@
     )
 
 
-def test_warning_is_logged_when_more_manual_drains_come_than_are_kept(rig, caplog):
+def test_warning_is_logged_when_manual_drains_exceed_their_limit(rig, caplog):
     broker = rig().broker
     caplog.set_level("WARNING", logger="umberusher")
     names = [f"gone-{number}" for number in range(manual_drains.MAX_MANUAL_DRAINS + 1)]
--- a/tests/broker/test_memory_pressure.py
+++ b/tests/broker/test_memory_pressure.py
@@ -20,6 +20,6 @@
     pressure = MemoryPressure()
     assert not pressure.update(0.7, 50)
     assert pressure.update(0.8, 100) and pressure.update(0.8, 60)
-    assert not pressure.update(0.8, 50)  # what is free now is used again
+    assert not pressure.update(0.8, 50)  # freed memory is reused
     assert pressure.update(0.95, 1)
     assert not pressure.update(0.7, 500) and pressure.peak_open_requests is None
--- a/tests/broker/test_reload.py
+++ b/tests/broker/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration: what changes at once, and what needs a restart."""
+"""Reload of the configuration: which changes apply at once, and which need a restart."""
 
 from __future__ import annotations
 
--- a/tests/broker/test_shutdown_calls.py
+++ b/tests/broker/test_shutdown_calls.py
@@ -10,8 +10,8 @@
 )
 
 
-def test_shutdown_answers_call_when_it_waits_in_the_listener(rig):
-    """The last look was made, the listener closed with a connection in it: its call was lost."""
+def test_shutdown_answers_call_when_its_connection_is_in_the_listener_backlog(rig):
+    """Guards against a lost call: the listener was closed after the last accept, with a connection in its backlog."""
     rig = rig()
     rig.broker.loop.running = True
     rig.broker.request_shutdown()
@@ -49,7 +49,8 @@
 
 
 def test_shutdown_rejects_call_when_grace_period_is_over(rig):
-    """SIGKILL may find open what came 0.7 s after SIGTERM, and then it is lost: sweeps came up to 0.1 s later."""
+    """Guards against a lost call: one admitted 0.7 s after SIGTERM may still be open at SIGKILL, since sweeps ran up to
+    0.1 s late."""
     rig = rig()
     client = rig.client()
     rig.until(lambda: rig.broker.frontend.clients)
@@ -63,7 +64,7 @@
 
 
 @pytest.mark.parametrize("second", ["request_shutdown", "request_reload"])
-def test_shutdown_goes_on_when_a_second_signal_arrives(rig, second):
+def test_shutdown_continues_when_a_second_signal_arrives(rig, second):
     rig = rig()
     rig.broker.loop.running = True
     rig.broker.request_shutdown()
--- a/tests/broker/test_shutdown_drain.py
+++ b/tests/broker/test_shutdown_drain.py
@@ -5,7 +5,7 @@
 from tests.thrift_messages import execute
 
 
-def test_shutdown_waits_for_call_that_is_with_the_kernel(rig):
+def test_shutdown_waits_for_call_that_is_in_the_socket_buffer(rig):
     made = rig(1)
     client, rid, engine = made.begun()
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
@@ -14,7 +14,7 @@
     made.broker.request_shutdown()
     made.later(900)
     call = execute(9, {"method": "lookup", "rid": "9" * 16, "budget": "900"}, b"select 1")
-    client.sock.send(call[:3])  # no event has told of it yet
+    client.sock.send(call[:3])  # the event loop has not read it yet
     made.broker.frontend.drain_idle_connections()
     made.later(300)
     assert client.read() == b"" and not client.ended and made.broker.loop.running
--- a/tests/broker/test_shutdown_on_sockets.py
+++ b/tests/broker/test_shutdown_on_sockets.py
@@ -25,7 +25,7 @@
     rig.later(800)
     assert rig.broker.loop.running
     other.sock.send(execute(9, {"method": "lookup", "rid": "9" * 16, "budget": "900"}, b"select 1"))
-    assert b"backoff" in rig.answer(other)  # none should come any more
+    assert b"backoff" in rig.answer(other)  # rejected after the grace period
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
     assert b"a\t1\t2\n" in rig.answer(other)
     rig.later(100)
--- a/tests/deadlines/test_account.py
+++ b/tests/deadlines/test_account.py
@@ -1,4 +1,4 @@
-"""How requests ended, and the events of it."""
+"""Classification of how requests ended, and the events that report it."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     assert sum(found.values()) == pytest.approx(took)
 
 
-def test_how_a_request_ended_and_where_it_was():
+def test_end_of_a_request_is_classified_and_counted_by_phase():
     now = [0.0]
     account = DeadlineAccount(lambda: now[0])
-    asked = RequestSummary("r", "lookup", 0.0, 1_000.0, latency_objective_ms=300.0)
+    summary = RequestSummary("r", "lookup", 0.0, 1_000.0, latency_objective_ms=300.0)
     node = AttemptTimestamps(0.0, 1.0, 2.0, 3.0, 0.0)
-    for at, word, out, end in (
+    for now_ms, outcome, timestamps, end in (
         (200, FinalOutcome.SERVED, node, None),
         (400, FinalOutcome.SERVED, node, DeadlineEnd.LATE),
         (100, None, None, DeadlineEnd.DISCONNECTED),
@@ -45,26 +45,26 @@
         (600, FinalOutcome.REJECTED, None, DeadlineEnd.EXPIRED),
         (1_000, FinalOutcome.FAILED, node, DeadlineEnd.EXPIRED),
     ):
-        now[0] = at
-        assert account.count_end(asked, word, out) is end
+        now[0] = now_ms
+        assert account.count_end(summary, outcome, timestamps) is end
     assert account.late == {"lookup": 1} and account.disconnected == {"held": 1, "node": 1}
     assert account.expired == {"node": 2, "held": 1}
 
 
-def test_stories_are_bounded_by_the_second_and_those_left_out_are_told():
-    now, told = [1_000.0], []
-    account = DeadlineAccount(lambda: now[0], told.append)
+def test_events_are_limited_per_second_and_suppressed_ones_are_counted():
+    now, events = [1_000.0], []
+    account = DeadlineAccount(lambda: now[0], events.append)
     for _ in range(MAX_EVENTS_PER_SECOND + 7):
         account.report_end(
             RequestSummary("r", "lookup", 0.0, 900.0), DeadlineEnd.EXPIRED, "held", {}
         )
-    assert len(told) == MAX_EVENTS_PER_SECOND
+    assert len(events) == MAX_EVENTS_PER_SECOND
     now[0] = 2_500.0
     account.report_end(
         RequestSummary("r", "lookup", 0.0, 900.0), DeadlineEnd.EXPIRED, "node", {"node": 100.0}
     )
     assert (
-        told[-1]["left_out"] == 7
-        and told[-1]["held_ms"] == 2_400.0
-        and told[-1]["node_ms"] == 100.0
+        events[-1]["left_out"] == 7
+        and events[-1]["held_ms"] == 2_400.0
+        and events[-1]["node_ms"] == 100.0
     )
--- a/tests/deadlines/test_budget.py
+++ b/tests/deadlines/test_budget.py
@@ -1,4 +1,4 @@
-"""A request's time."""
+"""The time budget of a request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "left, way, told",
+    "remaining_ms, network_delay_ms, expected",
     [
         (2_500.0, 6.0, 2_494),
         (2_500.9, 0.0, 2_500),
@@ -20,9 +20,13 @@
         (3.2e11, 6.0, 319_999_999_994),
     ],
 )
-def test_a_budget_of_any_size_tells_an_engine_less_than_is_left_or_nothing(left, way, told):
-    assert TimeBudget(0.0, 1_000.0 + left).engine_ttl_ms(1_000.0, way) == told
+def test_engine_time_limit_is_below_the_remaining_time_or_absent(
+    remaining_ms, network_delay_ms, expected
+):
+    assert (
+        TimeBudget(0.0, 1_000.0 + remaining_ms).engine_ttl_ms(1_000.0, network_delay_ms) == expected
+    )
 
 
-def test_an_attempt_may_end_before_its_request():
+def test_attempt_may_time_out_before_its_request():
     assert TimeBudget(0.0, 5_000.0).engine_ttl_ms(1_000.0, 2.0, timeout_at_ms=1_500.0) == 498
--- a/tests/deadlines/test_cancels.py
+++ b/tests/deadlines/test_cancels.py
@@ -1,4 +1,4 @@
-"""The STOPs of one connection and what came of them."""
+"""The STOPs of one connection and their outcomes."""
 
 from __future__ import annotations
 
--- a/tests/deadlines/test_deadlines_at_sockets.py
+++ b/tests/deadlines/test_deadlines_at_sockets.py
@@ -1,4 +1,4 @@
-"""Deadlines: one timeline, what the way takes, bytes that wait, stalls and slow readers."""
+"""Deadlines on sockets: clock steps, network delay, unsent requests, stalls of the broker and slow engines."""
 
 from __future__ import annotations
 
@@ -12,11 +12,8 @@
 BIG = b"select '" + b"x" * 600_000 + b"' from park_1.sites"
 
 
-# -- At the sockets
-
-
-def deaf(rig, method: str = "lookup", **more):
-    """A client whose request is too large for the buffers of an engine that does not read."""
+def send_partly_written_request(rig, method: str = "lookup", **more):
+    """Send a request that is too large for the socket buffers to an engine that does not read."""
     rig.listeners["s-0"].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_608)
     client = rig.client()
     rig.seqid += 1
@@ -36,26 +33,26 @@
     return client, rid, engine
 
 
-def test_a_request_partly_written_at_its_deadline_never_becomes_whole(rig):
+def test_request_partly_written_at_its_deadline_is_never_completed(rig):
     rig = rig()
-    heard = []
+    events = []
     post, rig.broker.registry.post = (
         rig.broker.registry.post,
-        lambda event: (heard.append(event), post(event)),
+        lambda event: (events.append(event), post(event)),
     )
-    client, rid, engine = deaf(rig)
+    client, rid, engine = send_partly_written_request(rig)
     rig.later(2_100)
     rig.until(lambda: rig.answer(client))
     rig.until(lambda: engine.read() and engine.ended)
     assert len(engine.got) < len(BIG) and rig.broker.upstream.given_up == {"PARTLY_WRITTEN": 1}
-    assert [event.outcome for event in heard if isinstance(event, AttemptEnded)] == [
+    assert [event.outcome for event in events if isinstance(event, AttemptEnded)] == [
         AttemptOutcome.NO_CONNECTION
     ]
 
 
-def test_a_client_that_leaves_a_load_partly_written_frees_its_key(rig):
+def test_client_that_disconnects_during_a_partly_written_load_frees_its_key(rig):
     rig = rig()
-    client, rid, engine = deaf(rig, "load", obj="k")
+    client, rid, engine = send_partly_written_request(rig, "load", obj="k")
     client.sock.close()
     rig.until(lambda: rid not in rig.broker.registry.requests)
     other = rig.client()
@@ -68,13 +65,13 @@
     )
 
 
-def test_after_a_stall_nothing_expired_goes_out_in_the_first_round(rig):
+def test_expired_request_is_not_sent_in_the_first_loop_step_after_a_stall(rig):
     rig = rig()
     client = rig.client()
     rid = rig.ask(
         client, budget="400"
-    )  # its connection is coming up, or its bytes are in the outbox
-    rig.now += 0.5  # the process was stopped: what is ready comes before what is due
+    )  # its connection is being opened, or its bytes are in the outbox
+    rig.now += 0.5  # the process was stopped: ready sockets are handled before due timers
     rig.broker.loop.step(0)
     engine = rig.accept("s-0")
     rig.until(lambda: rid not in rig.broker.registry.requests)
@@ -82,14 +79,14 @@
     assert b"REQ" not in engine.read() and rig.answer(client)
 
 
-def test_a_request_without_time_for_the_way_is_ended_at_once_and_no_engine_is_blamed(rig):
+def test_request_with_less_time_than_the_network_delay_ends_at_once_and_ejects_no_engine(rig):
     rig = rig()
     client = rig.client()
     fields = {
         "method": "lookup",
         "rid": "5" * 16,
         "budget": "5",
-    }  # the way to an unknown engine is held to take 6
+    }  # less than the network delay that is assumed for an unknown engine
     client.sock.send(execute(1, fields, b"select * from park_1.sites"))
     assert rig.answer(client)
     assert rig.broker.upstream.expired == {
@@ -97,7 +94,7 @@
     } and not rig.broker.balancer.ejected_endpoints(rig.broker.now_ms())
 
 
-def test_a_step_of_the_unix_clock_neither_ends_nor_extends_what_is_open(rig):
+def test_step_of_the_unix_clock_neither_ends_nor_extends_open_requests(rig):
     rig = rig()
     client, rid, engine = rig.begun()
     for step in (10.0, -20.0, 10.0):
@@ -113,19 +110,21 @@
     assert rig.answer(client)
 
 
-def test_a_connection_that_takes_nothing_gets_nothing_new(rig):
+def test_stalled_connection_accepts_no_new_request(rig):
     rig = rig()
-    deaf(rig)
+    send_partly_written_request(rig)
     rig.later(300)
-    (link,) = rig.broker.upstream.pool.by_engine["s-0"]
-    assert link.transport.is_write_stalled() and not link.accepts("f" * 16, rig.broker.now_ms())
+    (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
+    assert connection.transport.is_write_stalled() and not connection.accepts(
+        "f" * 16, rig.broker.now_ms()
+    )
 
 
-def test_what_came_during_a_stall_counts_from_when_the_loop_last_looked(rig):
+def test_call_that_arrives_during_a_stall_counts_from_the_previous_loop_step(rig):
     rig = rig()
     client = rig.client()
     rig.step(1)
-    rig.now += 3.0  # the process was stopped, and meanwhile a call came
+    rig.now += 3.0  # the process was stopped, and a call arrived meanwhile
     client.sock.send(
         execute(
             1,
@@ -134,14 +133,14 @@
         )
     )
     rig.broker.loop.step(0)
-    rig.later(40)  # a tick of the decisions
+    rig.later(40)  # one tick of the load balancer
     assert rig.answer(client) and rig.broker.registry.attempts_sent == 0
     rig.later(100)
-    rid = rig.ask(client, budget="2000")  # later ones count from now
+    rid = rig.ask(client, budget="2000")  # later calls count from now
     assert rig.broker.registry.requests[rid].budget.remaining_ms(rig.broker.now_ms()) > 1_900
 
 
-def test_thousands_of_deadlines_in_one_millisecond_leave_room_for_others():
+def test_thousands_of_timers_in_one_millisecond_are_spread_over_loop_steps():
     now, fired = [0.0], []
     loop = Loop(lambda: now[0])
     for number in range(5_000):
--- a/tests/deadlines/test_disposition.py
+++ b/tests/deadlines/test_disposition.py
@@ -1,4 +1,4 @@
-"""The table of what is done with bytes that wait."""
+"""The table of how attempts are abandoned, by the location of their bytes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    "place, alone, deed, proof",
+    "location, is_exclusive, action, proof",
     [
         (ByteLocation.QUEUED, True, SendAction.WITHDRAW, ExecutionProof.NEVER_RAN),
         (ByteLocation.QUEUED, False, SendAction.WITHDRAW, ExecutionProof.NEVER_RAN),
@@ -27,6 +27,6 @@
         (ByteLocation.RESPONSE_STARTED, False, SendAction.SEND_END, ExecutionProof.MAY_HAVE_RUN),
     ],
 )
-def test_the_table_of_bytes_that_wait(place, alone, deed, proof):
-    found = choose_disposition(place, alone)
-    assert (found.action, found.proof) == (deed, proof)
+def test_disposition_follows_the_table(location, is_exclusive, action, proof):
+    found = choose_disposition(location, is_exclusive)
+    assert (found.action, found.proof) == (action, proof)
--- a/tests/deadlines/test_network_delay.py
+++ b/tests/deadlines/test_network_delay.py
@@ -31,18 +31,21 @@
         assert found.value in window and min(window) <= found.value <= max(min(recent), min(window))
 
 
-def test_what_the_way_takes_is_bounded_by_engine_and_by_connection():
-    found = NetworkDelays()
-    assert found.allowance_ms("a") == UNKNOWN_DELAY_MS + DELAY_MARGIN_MS
-    for at, trip in enumerate((9.0, 3.0, 40.0, -1.0, 99_999.0)):
-        found.observe("a", at, trip)
-    assert found.allowance_ms("a") == 3.0 + DELAY_MARGIN_MS
+def test_network_delay_is_bounded_per_engine_and_per_connection():
+    delays = NetworkDelays()
+    assert delays.allowance_ms("a") == UNKNOWN_DELAY_MS + DELAY_MARGIN_MS
+    for at, round_trip_ms in enumerate((9.0, 3.0, 40.0, -1.0, 99_999.0)):
+        delays.observe("a", at, round_trip_ms)
+    assert delays.allowance_ms("a") == 3.0 + DELAY_MARGIN_MS
     for number in range(9_000):
-        found.observe(f"e{number}", 0.0, 1.0)
-    assert 1_024 <= len(found.engines) <= 4_096
-    trips = ConnectionDelay()
-    assert trips.delay_ms(0.0) == 0.0
-    trips.probe_sent(0.0)
-    assert trips.delay_ms(80.0) == 80.0 and trips.delay_ms(9_000.0) == MAX_CONNECTION_DELAY_MS
-    trips.probe_answered(90.0, 90.0)
-    assert trips.delay_ms(500.0) == 90.0 and trips.delay_ms(5_100.0) == 0.0
+        delays.observe(f"e{number}", 0.0, 1.0)
+    assert 1_024 <= len(delays.engines) <= 4_096
+    connection = ConnectionDelay()
+    assert connection.delay_ms(0.0) == 0.0
+    connection.probe_sent(0.0)
+    assert (
+        connection.delay_ms(80.0) == 80.0
+        and connection.delay_ms(9_000.0) == MAX_CONNECTION_DELAY_MS
+    )
+    connection.probe_answered(90.0, 90.0)
+    assert connection.delay_ms(500.0) == 90.0 and connection.delay_ms(5_100.0) == 0.0
--- a/tests/deadlines/test_report.py
+++ b/tests/deadlines/test_report.py
@@ -28,7 +28,7 @@
     } | more
 
 
-def test_both_forms_of_the_log_are_read_and_bad_events_named():
+def test_both_log_formats_are_read_and_unusable_events_are_named():
     lines = [
         json.dumps(event()),
         "2026 info something else",
@@ -50,7 +50,7 @@
     assert found.document()["groups"][0]["requests"] == 2 and found.slowest[0]["took_ms"] == 95.5
 
 
-def test_the_report_command_prints_plots_and_names_what_it_could_not_use(tmp_path):
+def test_report_command_prints_plots_and_names_unusable_events(tmp_path):
     log, plot = tmp_path / "b.log", tmp_path / "w.svg"
     log.write_text(json.dumps(event()) + "\n" + json.dumps(event(end="left", place="node")) + "\n")
     command = [sys.executable, "-m", "umberusher", "deadlines", "report"]
--- a/tests/deadlines/test_timeline.py
+++ b/tests/deadlines/test_timeline.py
@@ -7,7 +7,7 @@
 from umberusher.deadlines.timeline import Timeline
 
 
-def test_a_step_of_the_unix_clock_moves_nothing_but_what_is_told_from_outside():
+def test_step_of_the_unix_clock_affects_only_times_from_outside():
     mono, unix = [100.0], [1_700_000_000.0]
     time = Timeline(lambda: mono[0], lambda: unix[0])
     before = time.now_ms()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Passes over the tests that KNOWN-RED.txt names, and over no other.
+"""Marks the tests that KNOWN-RED.txt names as expected failures, and no others.
 
 Each line of that file, at the root of the checkout, is ``test | cause | issue``, three lines at the
-most. A test that is named and passes fails the run, and so does a name that stands for no test: the
-file can't go stale.
+most. A named test that passes fails the run, and so does a name without a test: the file can't go
+stale.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 FILE_NAME = "KNOWN-RED.txt"
 
 MAX_TESTS = 3
-"""More known failures than this are a reason to mend, not to go on."""
+"""More known failures than this have to be fixed before other work goes on."""
 
 FIELDS_PER_LINE = 3
 
@@ -23,7 +23,7 @@
     """Return cause and issue of each test that the file names, by the test's node id.
 
     Raises:
-        pytest.UsageError: The file is not of its form.
+        pytest.UsageError: The file is malformed.
     """
     lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else []
     reasons: dict[str, str] = {}
@@ -42,10 +42,10 @@
 
 @pytest.hookimpl(trylast=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect the named tests to fail.
+    """Mark the named tests as expected failures.
 
     Raises:
-        pytest.UsageError: A name stands for no test.
+        pytest.UsageError: A name belongs to no test.
     """
     root = config.rootpath
     items_by_id = {item.nodeid: item for item in items}
@@ -61,6 +61,6 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
-    """Print what was passed over."""
+    """Print the named tests with their reasons."""
     for test, reason in read(config.rootpath / FILE_NAME).items():
         terminalreporter.write_line(f"known red: {test}: {reason}")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a broker, and what is said of a malformed one."""
+"""The configuration of a broker, and the errors of a malformed one."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 }
 
 
-def test_environment_goes_before_the_file(tmp_path):
+def test_environment_overrides_the_file(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONF))
     found = config.load({"LB_CONFIG": str(path), "LB_NAME": "n7", "LB_LISTEN": "127.0.0.2:81"})
@@ -96,11 +96,11 @@
         monkeypatch.delenv(name, raising=False)
     monkeypatch.setenv("LB_CONFIG", str(file))
     assert cli.main(["serve"]) == 2
-    told = capsys.readouterr().err
-    assert told.startswith("umberusher: configuration: ") and told.count("\n") == 1
+    output = capsys.readouterr().err
+    assert output.startswith("umberusher: configuration: ") and output.count("\n") == 1
 
 
-SECOND = {  # what the second site states otherwise
+SECOND = {  # settings of the second site that differ
     "accounts": [
         {"name": "a", "quota_per_s": 50.0, "share": 0.5},
         {"name": "b", "quota_per_s": 30.0},
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize(
-    "path, value, told",
+    "path, value, expected",
     [
         ("limits.cancel", "no", "limits.cancel must be true or false"),
         ("domain.lanes_count", 1, "domain.lanes_count must be"),
@@ -158,8 +158,8 @@
     ],
 )
 @pytest.mark.parametrize("site", [{}, SECOND])
-def test_malformed_setting_is_named(site, path, value, told):
-    """Found by trying: "no" passed for true, and would have had priorities sent and cancels written."""
+def test_malformed_setting_is_named(site, path, value, expected):
+    """Guards against lax types: "no" was accepted as true and would have enabled priorities and cancels."""
     conf = copy.deepcopy(CONF)
     conf["settings"] |= copy.deepcopy(site)
     assert config.parse(conf).settings.limits.cancellation is bool(site)
@@ -169,4 +169,4 @@
     inner[last] = value
     with pytest.raises(config.ConfigError) as raised:
         config.parse(conf)
-    assert told in str(raised.value) and "\n" not in str(raised.value)
+    assert expected in str(raised.value) and "\n" not in str(raised.value)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The file of known red tests: it passes over what it names, and fails the run when stale."""
+"""The file of known red tests: the tests that it names may fail, and a stale file fails the run."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "code", "told"),
+    ("lines", "code", "expected"),
     [
         ("", 1, "1 failed, 1 passed"),
         (
@@ -36,8 +36,8 @@
         ("test_it.py::test_red | it rains", 4, "KNOWN-RED.txt:1: expected 'test | cause | issue'"),
     ],
 )
-def test_known_red_passes_over_what_it_names_and_fails_when_it_is_stale(
-    tmp_path, lines, code, told
+def test_known_red_excuses_the_tests_that_it_names_and_fails_when_it_is_stale(
+    tmp_path, lines, code, expected
 ):
     (tmp_path / "test_it.py").write_text(TESTS)
     (tmp_path / "pytest.ini").write_text("[pytest]\n")
@@ -52,13 +52,13 @@
         timeout=60,
         check=False,
     )
-    assert (found.returncode, told in found.stdout + found.stderr) == (code, True), (
+    assert (found.returncode, expected in found.stdout + found.stderr) == (code, True), (
         found.stdout + found.stderr
     )
 
 
 @pytest.mark.parametrize(
-    ("lines", "told"),
+    ("lines", "expected"),
     [
         ("test_it.py::test_red | it rains |", "KNOWN-RED.txt:1: expected 'test | cause | issue'"),
         (
@@ -71,9 +71,9 @@
         ),
     ],
 )
-def test_read_raises_usage_error_when_the_file_is_malformed(tmp_path, lines, told):
+def test_read_raises_usage_error_when_the_file_is_malformed(tmp_path, lines, expected):
     (tmp_path / "KNOWN-RED.txt").write_text(lines)
-    with pytest.raises(pytest.UsageError, match=re.escape(told)):
+    with pytest.raises(pytest.UsageError, match=re.escape(expected)):
         known_red.read(tmp_path / "KNOWN-RED.txt")
 
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example is run as it stands."""
+"""The example of the README runs unchanged, and all packages are installed."""
 
 from __future__ import annotations
 
