--- a/tests/teams/test_contract_parser.py
+++ b/tests/teams/test_contract_parser.py
@@ -40,7 +40,7 @@
             "rate = 900",
             ":2: the teams are promised 60.8 threads of work on 2026-04-03",
         ),
-        ('"water", share', '"parks", share', ":4: team parks is there twice"),
+        ('"water", share', '"parks", share', ":4: team parks is defined twice"),
         (
             'strangers = "parks"',
             'strangers = "nobody"',
@@ -49,7 +49,7 @@
         ("2026-04-06", "2026-04-01", ":11: window easter: it ends before it begins"),
         ('"2026-04-06"', '"soon"', "last must be a date"),
         ("[5051]", "[70000]", ":7: water: ports must be"),
-        ('ports = [5051], names = ["water.example"], ', "", ":7: water: proof is wanted"),
+        ('ports = [5051], names = ["water.example"], ', "", ":7: water: proof is required"),
         ('overflow = "lend"', 'overflow = "maybe"', ":4: parks: overflow must be one of"),
         ('team = "parks"', 'team = "fire"', ":11: window easter: there is no team 'fire'"),
         (
@@ -64,7 +64,7 @@
             "capacity must be set by fleet",
         ),
         ("work_ms = 60),\n", "work_ms = 60) + 1,\n", "teams.star:5"),
-        ('terms("report", rate', 'terms("lookup", rate', ":5: parks: class lookup is there twice"),
+        ('terms("report", rate', 'terms("lookup", rate', ":5: parks: class lookup is listed twice"),
     ],
 )
 def test_what_is_wrong_with_a_contract_is_told_by_file_and_line(tmp_path, old, new, told):
--- a/umberusher/simulator/__init__.py
+++ b/umberusher/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions in simulated time: events and actions as lines of text on standard streams."""
+"""Runs the decisions in simulated time: events and actions are lines on the standard streams."""
--- a/umberusher/simulator/action_codec.py
+++ b/umberusher/simulator/action_codec.py
@@ -1,4 +1,4 @@
-"""Actions to lines. It decides nothing."""
+"""Encodes actions as lines of the text wire."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def _line(name: str, instance: str, **fields: object) -> str:
-    """Return a line; a field that is None is left out."""
+    """Return a line; fields that are None are omitted."""
     parts = [name, f"i={instance}"]
     parts += [f"{key}={value}" for key, value in fields.items() if value is not None]
     return "\t".join(parts)
@@ -82,5 +82,5 @@
 
 
 def encode(instance: str, action: Action) -> str:
-    """Return the line of one action of an instance."""
+    """Return the line that encodes one action of an instance."""
     return _ENCODERS[type(action)](instance, action)
--- a/umberusher/simulator/event_codec.py
+++ b/umberusher/simulator/event_codec.py
@@ -1,4 +1,4 @@
-"""Lines to events. It decides nothing."""
+"""Decodes lines of the text wire into events."""
 
 from __future__ import annotations
 
@@ -56,9 +56,10 @@
     "2": ProgressKind.SPILL,
     "3": ProgressKind.WAIT,
 }
-# Forms of an endpoint list: whether it is complete; None for a list that could not be had.
+# Forms of an endpoint list: whether it is complete; None for a list that could not be retrieved.
 _LIST_FORMS: dict[str, bool | None] = {"D": False, "F": True, "C": True, "X": None}
-# ``stats`` holds the work in ms above this, and the memory below it in steps of 4 MB.
+# ``stats`` packs two values: its quotient by this number is the work in ms, its remainder is the
+# memory in steps of 4 MB.
 _STATS_WORK_UNIT = 4096
 _STATS_MEMORY_STEP_MB = 4
 NO_REPORT = "-"
@@ -92,7 +93,7 @@
         tenant=fields.get("user_group") or None,
         is_retry=flag(fields, "resent"),
     )
-    # Checked, and not read: nothing is decided by it.
+    # Validated only: no decision depends on it.
     flag(fields, "is_write")
     return event
 
@@ -136,7 +137,7 @@
 
 
 def _peer_message(fields: Fields) -> None:
-    """Check a message of another broker; brokers tell each other nothing, so it is no event."""
+    """Validate a message of another broker; it is no event, since brokers exchange no messages."""
     payload = text(fields, "msg")
     integer(fields, "author")
     try:
@@ -157,7 +158,8 @@
     return ResponseStarted(text(fields, "msg_id"), integer(fields, "n"), text(fields, "node"))
 
 
-# By message; None stands for a message that is checked and tells the decisions nothing.
+# Decoders by message name. A decoder returns None for a message that is valid and has no effect on
+# the decisions.
 DECODERS: dict[str, Callable[[Fields], Event | None]] = {
     "request": _request_arrived,
     "returned": _attempt_ended,
@@ -171,7 +173,7 @@
 
 
 def endpoint_update(fields: Fields) -> EndpointUpdate:
-    """Return one entry of a numbered list."""
+    """Return one entry of a numbered endpoint list."""
     cell = optional_integer(fields, "unit_group")
     started_ms = optional_number(fields, "boot_time_ms")
     return EndpointUpdate(
@@ -186,11 +188,11 @@
 
 
 def endpoint_list_event(fields: Fields, lists: dict[int, tuple[EndpointUpdate, ...]]) -> Event:
-    """Return what an update of the endpoint list tells.
+    """Return the event of an update of the endpoint list.
 
     Args:
         fields: The line's fields.
-        lists: The numbered lists so far.
+        lists: The lists defined so far, by number.
 
     Raises:
         WireError: The line is malformed, or names a list that was not defined before it.
--- a/umberusher/simulator/fields.py
+++ b/umberusher/simulator/fields.py
@@ -1,4 +1,4 @@
-"""Fields of a line: ``name TAB key=value TAB key=value``, read with the errors that name them."""
+"""Parses the fields of a line ``name TAB key=value TAB key=value``; errors name the field."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 # The one field whose value may hold tabs: it runs to the end of its line.
 SETTINGS_FIELD = "conf"
-# Longest part of a malformed value that an error repeats.
+# Maximum length of a malformed value as quoted by an error.
 MAX_QUOTED_CHARACTERS = 40
 
 
 class WireError(Exception):
-    """The input is not what the wire's page says."""
+    """The input violates the protocol of the text wire."""
 
 
 def quoted(value: str) -> str:
-    """Return a malformed value as an error repeats it."""
+    """Return a malformed value as an error quotes it: shortened, with quotes."""
     return repr(value[:MAX_QUOTED_CHARACTERS])
 
 
@@ -28,7 +28,7 @@
     """Return the name of a message and its fields.
 
     Raises:
-        WireError: A part after the name has no equals sign.
+        WireError: A field has no equals sign.
     """
     name, *parts = line.split("\t")
     fields: Fields = {}
@@ -44,7 +44,7 @@
 
 
 def text(fields: Fields, name: str) -> str:
-    """Return a field that must be there."""
+    """Return the value of a required field."""
     value = fields.get(name)
     if not value:
         raise WireError(f"expected field {name}")
@@ -52,7 +52,7 @@
 
 
 def parse_number(value: str, name: str) -> float:
-    """Return the finite number that a text holds; ``name`` is for the error."""
+    """Return a text as a finite number; errors refer to it by ``name``."""
     try:
         result = float(value)
     except ValueError:
@@ -63,23 +63,23 @@
 
 
 def number(fields: Fields, name: str) -> float:
-    """Return a number that must be there."""
+    """Return the number in a required field."""
     return parse_number(text(fields, name), name)
 
 
 def optional_number(fields: Fields, name: str) -> float | None:
-    """Return a number; None where the field is missing or empty."""
+    """Return the number in a field; None if the field is missing or empty."""
     return number(fields, name) if fields.get(name) else None
 
 
 def optional_integer(fields: Fields, name: str) -> int | None:
-    """Return a number without its fraction; None where the field is missing or empty."""
+    """Return the number in a field, truncated; None if the field is missing or empty."""
     value = optional_number(fields, name)
     return None if value is None else int(value)
 
 
 def integer(fields: Fields, name: str) -> int:
-    """Return a whole number that must be there."""
+    """Return the whole number in a required field."""
     value = text(fields, name)
     try:
         return int(value)
@@ -88,7 +88,7 @@
 
 
 def flag(fields: Fields, name: str) -> bool:
-    """Return whether a flag is set; one that is missing is not."""
+    """Return whether a flag is set; a missing flag is not set."""
     value = fields.get(name, "0")
     if value not in ("0", "1"):
         raise WireError(f"expected 0 or 1 in {name}, got {quoted(value)}")
@@ -96,7 +96,7 @@
 
 
 def one_of(table: Mapping[str, _Item], fields: Fields, name: str) -> _Item:
-    """Return what a table holds for the word of a field."""
+    """Return the table's value for the word in a required field."""
     value = text(fields, name)
     if value not in table:
         words = ", ".join(table)
--- a/umberusher/simulator/host.py
+++ b/umberusher/simulator/host.py
@@ -1,4 +1,4 @@
-"""The process loop: batches of events in on one stream, actions out on another."""
+"""The loop of the simulator's process: reads batches of events, and writes actions."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Reply:
-    """One line of a reply, and the instance that it is from."""
+    """One line of a reply, and the instance that produced it."""
 
     __slots__ = ("instance", "line")
 
@@ -44,7 +44,7 @@
 
 
 class ListDefinition:
-    """A numbered list whose entries are still to come."""
+    """A numbered endpoint list whose entries are being read."""
 
     __slots__ = ("entries", "number", "size")
 
@@ -54,12 +54,12 @@
         self.entries: list[EndpointUpdate] = []
 
     def is_complete(self) -> bool:
-        """Return whether all its entries have come."""
+        """Return whether all entries have been read."""
         return len(self.entries) >= self.size
 
 
 class Host:
-    """Many load balancers side by side; each has only its own events."""
+    """Runs many independent load balancers; each handles only the events of its own instance."""
 
     def __init__(self) -> None:
         self._balancers: dict[str, LoadBalancer] = {}
@@ -67,14 +67,14 @@
         self._definition: ListDefinition | None = None
 
     def handle_batch(self, now_ms: float, lines: Iterable[tuple[int, str]]) -> list[str]:
-        """Return all actions of one batch, as lines.
+        """Return all actions that one batch causes, as lines.
 
         Args:
-            now_ms: The time of its events.
-            lines: Its lines with their numbers in the input.
+            now_ms: The time of the batch's events.
+            lines: The batch's lines with their numbers in the input.
 
         Raises:
-            WireError: A line is malformed; the error has its number.
+            WireError: A line is malformed; the error names its number.
         """
         replies: list[Reply] = []
         for line_number, line in lines:
@@ -105,7 +105,7 @@
             raise WireError(f"expected an instance that has started, got {quoted(instance)}")
         elif name == INSTANCE_END:
             del self._balancers[instance]
-            # What an instance did in the batch of its end is not carried out.
+            # Actions of an instance that ends in this batch are not carried out.
             replies[:] = [reply for reply in replies if reply.instance != instance]
             return
         elif name == LIST_UPDATE:
@@ -117,7 +117,7 @@
             replies.extend(Reply(instance, encode(instance, action)) for action in actions)
 
     def _define_list(self, name: str, fields: Fields) -> None:
-        """Take a line of a numbered list: its head, or one of its entries."""
+        """Process a line of a list definition: its head, or one of its entries."""
         definition = self._definition
         if definition is None:
             definition = ListDefinition(integer(fields, "roster_id"), integer(fields, "elements"))
@@ -141,9 +141,9 @@
 
 
 class _Batch:
-    """The head of a batch whose lines are being read, and those lines with their numbers."""
+    """A batch that is being read: its head, and its lines with their numbers in the input."""
 
-    __slots__ = ("lines", "now_ms", "turn")
+    __slots__ = ("lines", "now_ms", "number")
 
     def __init__(self, line_number: int, line: str) -> None:
         try:
@@ -151,7 +151,7 @@
             if name != BATCH_START:
                 raise WireError(f"expected {BATCH_START}, got {quoted(name)}")
             self.now_ms = number(fields, "now_ms")
-            self.turn = integer(fields, "turn")
+            self.number = integer(fields, "turn")
         except WireError as error:
             raise WireError(f"line {line_number}: {error} (in the opening of a batch)") from error
         self.lines: list[tuple[int, str]] = []
@@ -172,7 +172,7 @@
                 batch = _Batch(line_number, line)
         elif line.partition("\t")[0] == BATCH_END:
             replies = host.handle_batch(batch.now_ms, batch.lines)
-            replies.append(f"ack\tturn={batch.turn}\n")
+            replies.append(f"ack\tturn={batch.number}\n")
             sink.write("\n".join(replies))
             sink.flush()
             batch = None
--- a/umberusher/teams/__init__.py
+++ b/umberusher/teams/__init__.py
@@ -1,1 +1,1 @@
-"""Teams' contracts: identity, admission, budgets, lending, retry budgets, statements. No I/O."""
+"""Contracts of teams: identity, admission, budgets, lending, retry budgets, statements. No I/O."""
--- a/umberusher/teams/admission.py
+++ b/umberusher/teams/admission.py
@@ -1,14 +1,14 @@
-"""Admits the requests of teams by their contract, and settles what they used.
+"""Admits the requests of teams under their contract, and settles what they used.
 
-A broker enforces its part of a contract: one by the number of brokers. A team that has used nothing
-lately has no state: an idle budget is a full one.
+Each broker enforces its fraction of a contract: one divided by the number of brokers. A team that
+has used nothing recently has no state, since an idle budget is a full one.
 
-A request is admitted on its team's own budget where the team has the rate and the work for it, and
-is within its share or capacity is free: a share counts only under load. Any other request is
-overflow: where the contract lends, it is admitted on what the lending pool holds, while capacity is
-free. A rejection says how long it takes until the team's own budget covers the request, each
-rejected one after the one before: clients that are told the same moment would be rejected again at
-that moment.
+A request is admitted on its team's own budget if the budget covers its rate and its work, and if
+the team is within its share or capacity is free: shares are enforced only under load. Any other
+request is overflow: if the team's contract allows borrowing, it is admitted on the work that the
+lending pool holds, as long as capacity is free. A rejection states how long it takes until the
+team's own budget covers the request. Successive rejections get successive times, because clients
+that all retry at the same moment would be rejected again at that moment.
 """
 
 from __future__ import annotations
@@ -27,17 +27,18 @@
 from umberusher.teams.team_state import TeamState
 from umberusher.teams.usage import TeamUsage
 
-# The depth of the lending pool, of the capacity: what borrowers may still take once the owners are
-# back.
+# Depth of the lending pool, in seconds of the capacity: it bounds the work that borrowers can still
+# use once the owners are active again.
 POOL_DEPTH_S = 0.5
 
-# The part of the capacity up to which work is lent while all owners are active.
+# Fraction of the capacity up to which work is lent while all owners are active.
 LENDING_MAX_FRACTION = 0.65
 
-# Teams with a state that are examined for that; of more some are always active.
+# Number of teams with state up to which their active shares are summed for the lending limit; among
+# more teams some are always active.
 MAX_TEAMS_EXAMINED = 64
 
-# The most that a team can owe, of its promised work.
+# Maximum debt of a team, in seconds of its promised work.
 MAX_DEBT_S = 2.0
 
 MIN_COST_MS = 0.1
@@ -47,18 +48,18 @@
     """What pays for an admitted request."""
 
     OWN = auto()
-    """The team's rate and work."""
+    """The team's own rate and work budgets."""
 
     OWN_WORK = auto()
-    """The team's work alone: it exceeds the rate of the class."""
+    """The team's work budget alone: the request exceeds the rate of its class."""
 
     LENT = auto()
-    """Work of other teams."""
+    """Work borrowed from other teams."""
 
 
 @dataclass(slots=True)
 class _Demand:
-    """What a request needs: corrected and estimated work, threads and memory."""
+    """The needs of a request: corrected and estimated work, threads and memory."""
 
     query_class: str
     cost: float
@@ -71,16 +72,16 @@
     """The state of all teams at one broker.
 
     Attributes:
-        contract: The contract, with the values of today.
+        contract: The contract, with the terms of the current day.
         at_ms: The latest time seen.
-        states: The teams that are not idle.
-        usage: What each team has used since the start.
+        states: The states of the teams that are not idle.
+        usage: What each team has used since the process started.
         pool: The work that may be lent.
         costs: The corrections of clients' estimates.
         retry_budgets: The teams' shares of the retry budget.
         threads: Threads held by open requests of all teams.
-        memory_mb: Memory held by them.
-        charged: Work charged to each team's own budget, less what was given back.
+        memory_mb: Memory held by open requests of all teams.
+        charged: Work charged to each team's own budget, less refunds.
     """
 
     __slots__ = (
@@ -119,9 +120,9 @@
         return LendingPool(work_rate / 1000.0, work_rate * POOL_DEPTH_S, now_ms)
 
     def advance(self, now_ms: float) -> float:
-        """Let time pass; return the time to go by.
+        """Advance the clock and the lending pool; return the current time.
 
-        A clock that steps back is held: budgets would take the step for a debt.
+        The time never goes back: budgets would count a backward step of the clock as a debt.
         """
         self.at_ms = max(self.at_ms, now_ms)
         self.pool.advance(self.at_ms, self._full_ms)
@@ -132,24 +133,24 @@
         return state.work_budget.full_ms if state else 0.0
 
     def work_limit(self, team: Team) -> RateLimit:
-        """Return a team's work at this broker, in milliseconds of one thread by the millisecond."""
+        """Return a team's work limit at this broker, in milliseconds of one thread per ms."""
         fraction = self._broker_fraction
         return RateLimit(team.work_rate * fraction / 1000.0, team.work_burst * fraction)
 
     def rate_limit(self, terms: Terms) -> RateLimit:
-        """Return a team's requests of a class at this broker, by the millisecond."""
+        """Return a team's request limit for a class at this broker, in requests per millisecond."""
         fraction = self._broker_fraction
         return RateLimit(terms.rate * fraction / 1000.0, max(terms.burst * fraction, 1.0))
 
     def usage_of(self, team: str) -> TeamUsage:
-        """Return what a team has used."""
+        """Return a team's usage counts; they start at zero."""
         usage = self.usage.get(team)
         if usage is None:
             usage = self.usage[team] = TeamUsage()
         return usage
 
     def debt_ms(self, now_ms: float, name: str) -> float:
-        """Return the milliseconds of one thread that a team owes."""
+        """Return a team's debt of work, in milliseconds of one thread."""
         team = self.contract.teams.get(name)
         state = self.states.get(name)
         if team is None or state is None:
@@ -174,12 +175,12 @@
 
         Args:
             now_ms: The time now.
-            name: A team that the contract names.
+            name: The name of a team in the contract.
             query_class: The request's class.
-            estimate: The client's estimate of its work; by default what the contract says.
+            estimate: The client's estimate of its work; defaults to the contract's value.
             threads: Threads that it holds at an engine.
-            memory_mb: Memory that it holds there; by default what the contract says.
-            client_retry: Whether the client has sent it before.
+            memory_mb: Memory that it holds at an engine; defaults to the contract's value.
+            client_retry: Whether the client has sent the request before.
         """
         now = self.advance(now_ms)
         team = self.contract.teams[name]
@@ -211,7 +212,7 @@
         threads: float,
         memory_mb: float | None,
     ) -> _Demand:
-        """Return what a request needs; the contract's terms where the client gives no estimate."""
+        """Return a request's demand; the contract's terms apply where the client gives no value."""
         estimated_ms = terms.work_ms if estimate is None else estimate
         return _Demand(
             query_class,
@@ -224,7 +225,7 @@
     def _exceeded_limit(
         self, now: float, team: Team, state: TeamState, demand: _Demand
     ) -> RejectionReason | None:
-        """Return the first limit of the team's own that a request exceeds."""
+        """Return the first of the team's own limits that a request exceeds."""
         rate_budget = state.rate_budgets.get(demand.query_class) or RateBudget()
         rate_limit = self.rate_limit(team.terms[demand.query_class])
         if not rate_budget.can_afford(now, 1.0, *rate_limit):
@@ -244,9 +245,10 @@
     ) -> _Funding | None:
         """Return what pays for a request beyond its team's limits; None where nothing does.
 
-        More of a class than was promised may run on the team's own work: nobody else's is touched.
-        Where keys send a class to one broker, that broker's part of the rate is too small though
-        the team is within its contract.
+        A request above the promised rate of its class may run on the team's own work, since that
+        takes nothing from other teams. When routing by key sends all requests of a class to one
+        broker, that broker's fraction of the rate is too small although the team is within its
+        contract.
         """
         if team.overflow != "lend":
             return None
@@ -269,7 +271,7 @@
         demand: _Demand,
         funding: _Funding,
     ) -> Charge:
-        """Charge an admitted request to what pays for it."""
+        """Charge an admitted request to the budget that pays for it."""
         name = team.name
         query_class = demand.query_class
         usage = self.usage_of(name)
@@ -311,15 +313,15 @@
         )
 
     def _has_capacity(self, demand: _Demand, max_fraction: float) -> bool:
-        """Return whether all open requests with this one stay within a fraction of the capacity."""
+        """Return whether all open requests and this one stay within a fraction of the capacity."""
         threads = self.threads + demand.threads
         return self._dominant_share(threads, self.memory_mb + demand.memory_mb) <= max_fraction
 
     def _lending_limit(self, borrower: str) -> float:
-        """Return up to which fraction of the capacity work is lent.
+        """Return the fraction of the capacity up to which work is lent.
 
-        What is kept free is for owners that are active and have bursts beyond their share. An owner
-        that is away needs none of it: on its return its share is its own.
+        The capacity above it is reserved for active owners, whose bursts may exceed their share. An
+        idle owner needs no reserve: when it becomes active again, it still has its own share.
         """
         if len(self.states) > MAX_TEAMS_EXAMINED:
             return LENDING_MAX_FRACTION
@@ -331,7 +333,7 @@
         return 1.0 - (1.0 - LENDING_MAX_FRACTION) * min(active_share / others_share, 1.0)
 
     def charge_work(self, now: float, team: Team, state: TeamState, cost: float) -> None:
-        """Charge a team's own work; debt beyond the bound is forgiven, and counted."""
+        """Charge work to the team's own budget; debt above the maximum is forgiven and counted."""
         limit = self.work_limit(team)
         self.charged[team.name] += cost
         state.work_budget.charge(now, cost, limit.rate)
@@ -350,7 +352,7 @@
     def _retry_after_ms(
         self, now: float, team: Team, state: TeamState, demand: _Demand, reason: RejectionReason
     ) -> float:
-        """Return how long a rejected request should stay away, after those rejected before."""
+        """Return the delay for the retry of a rejected request, after those of earlier ones."""
         query_class = demand.query_class
         terms = team.terms[query_class]
         rate_limit = self.rate_limit(terms)
@@ -377,13 +379,15 @@
     def settle(
         self, now_ms: float, charge: Charge, used_ms: float | None, served: bool = False
     ) -> None:
-        """Charge what a request really used in place of the estimate.
+        """Replace the estimated work of a request by the work that it used.
 
         Only the first call for a charge has an effect.
 
-        Args: now_ms: The time now. charge: The request. used_ms: Milliseconds at engines times
-            threads, as they passed there; None where it never ran. served: Whether the client has
-            its result.
+        Args:
+            now_ms: The time now.
+            charge: The charge of the request.
+            used_ms: Elapsed milliseconds at engines times threads; None where it never ran.
+            served: Whether the client received the result.
         """
         if charge.settled:
             return
@@ -405,7 +409,7 @@
         if state is None:
             return
         state.release(now, charge.threads, charge.memory_mb)
-        # Debts go by the rate of the contract of now, which may be a new one.
+        # Debts are settled at the rate of the current contract, which may have changed.
         current = self.contract.teams.get(team.name, team)
         if charge.lent:
             usage.borrowed_ms += work_ms
@@ -413,21 +417,21 @@
         if charge.lent and work_ms < charge.cost:
             self.pool.give_back(charge.cost - work_ms)
         else:
-            # What a borrower uses beyond what was lent is its own.
+            # Work beyond the lent amount is charged to the borrower's own budget.
             self.charge_work(now, current, state, work_ms - charge.cost)
         self.forget_if_idle(now, team.name, state)
 
     def forget_if_idle(self, now: float, name: str, state: TeamState) -> None:
-        """Drop the state of an idle team: it is as that of one that has never asked."""
+        """Drop the state of an idle team: it equals that of a team without any request."""
         if state.is_idle(now):
             del self.states[name]
 
     # -- Retries
 
     def may_retry(self, now_ms: float, charge: Charge) -> bool:
-        """Return whether a request's team has a retry left.
+        """Return whether the team of a request has a retry left.
 
-        Called again while the request waits for one.
+        Called repeatedly while the request waits for a retry; only its first denial is counted.
         """
         name = charge.team.name
         team = self.contract.teams.get(name)
@@ -453,20 +457,20 @@
     def change_contract(self, now_ms: float, contract: Contract) -> None:
         """Apply a new contract.
 
-        Open requests end by the contract before. Levels of work go on, at most full; budgets of
-        classes that are no more are dropped.
+        Open requests keep the contract under which they were admitted. Work budgets keep their
+        level, up to the new burst; budgets of removed classes are dropped.
         """
         now = self.advance(now_ms)
-        before = self.contract
+        previous_contract = self.contract
         levels = {
-            name: state.work_budget.level(now, *self.work_limit(before.teams[name]))
+            name: state.work_budget.level(now, *self.work_limit(previous_contract.teams[name]))
             for name, state in self.states.items()
-            if name in before.teams
+            if name in previous_contract.teams
         }
         self.contract = contract
         previous_pool = self.pool
         self.pool = self._new_pool(now)
-        self.pool.succeed(previous_pool)
+        self.pool.continue_from(previous_pool)
         for name, state in list(self.states.items()):
             team = contract.teams.get(name)
             if team is not None:
@@ -478,13 +482,13 @@
                 del self.states[name]
 
     def _apply_terms(self, now: float, team: Team, state: TeamState, level: float | None) -> None:
-        """Give a team the budgets of a new contract.
+        """Set a team's budgets to those of a new contract.
 
         Args:
             now: The time now.
-            team: Its new terms.
-            state: Its state.
-            level: The work that its budget held; None for a new team.
+            team: The team under the new contract.
+            state: The team's state.
+            level: The work that its budget held before; None for a new team.
         """
         limit = self.work_limit(team)
         state.work_budget = RateBudget()
--- a/umberusher/teams/charge.py
+++ b/umberusher/teams/charge.py
@@ -1,4 +1,4 @@
-"""What admission by a contract decides: the charge for a request, or its rejection."""
+"""The outcomes of admission under a contract: the charge for a request, or its rejection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RejectionReason(Enum):
-    """Which limit a request exceeds; the values are the words of metrics and statements."""
+    """The limit that a request exceeds; the values appear in metrics and statements."""
 
     CLASS = "class"
     """The contract has no such class."""
@@ -23,8 +23,10 @@
 class Rejection:
     """A request that is not admitted.
 
-    Attributes: reason: The limit that it exceeds. retry_after_ms: How long until the team's own
-        budget covers it; infinite where it never will.
+    Attributes:
+        reason: The limit that it exceeds.
+        retry_after_ms: The time until the team's own budget covers it; infinite where it never
+            does.
     """
 
     reason: RejectionReason
@@ -33,19 +35,19 @@
 
 @dataclass(slots=True)
 class Charge:
-    """A request that was admitted, until its end settles it.
+    """An admitted request; the charge is open until the request ends and is settled.
 
     Attributes:
-        team: The team, by the contract under which the request was admitted.
+        team: The team, under the contract by which the request was admitted.
         query_class: The request's class.
         cost: The work that was charged, in milliseconds of one thread.
-        estimate: The work before any correction.
-        lent: Whether it runs on work of other teams.
-        threads: Threads that it holds at its engine.
-        memory_mb: Memory that it holds there.
-        at_ms: When it was admitted.
-        settled: Whether its end has been accounted for.
-        retry_denied: Whether a retry was wanted for which there was no budget.
+        estimate: The estimated work before any correction, in milliseconds of one thread.
+        lent: Whether the request runs on work borrowed from other teams.
+        threads: Threads that the request holds at its engine.
+        memory_mb: Memory that the request holds at its engine.
+        admitted_at_ms: The time of admission.
+        settled: Whether the end of the request has been accounted for.
+        retry_denied: Whether the retry budget has denied a retry of the request.
     """
 
     team: Team
@@ -55,6 +57,6 @@
     lent: bool
     threads: float
     memory_mb: float
-    at_ms: float
+    admitted_at_ms: float
     settled: bool = False
     retry_denied: bool = False
--- a/umberusher/teams/contract.py
+++ b/umberusher/teams/contract.py
@@ -1,9 +1,9 @@
-"""A contract as an immutable value: the teams, and what each was promised.
+"""A contract as an immutable value: the teams, and the terms that each was promised.
 
-The teams are kept in a persistent map, so that a new contract shares what has not changed and a
-request in flight keeps the one it was admitted under without a copy (Bagwell's hash array mapped
-tries, by the library ``immutables``). The fields' names are those of the values; the words of the
-script and of the commands' results differ, see ``contract_parser``.
+The teams are kept in a persistent map (Bagwell's hash array mapped tries, by the library
+``immutables``). A new contract shares all unchanged entries with the previous one, and a request in
+flight keeps the contract under which it was admitted without a copy. Some fields have other names
+in the script and in the results of the commands, see ``contract_parser``.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 
 class ContractError(UsageError):
-    """A contract can't be used; the text has a line for each fault."""
+    """The contract is invalid; the message has one line for each fault."""
 
     about = "contract: "
 
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """What a team was promised for one class.
+    """The terms that a team was promised for one class.
 
     Attributes:
-        rate: Requests a second, over all brokers.
-        burst: Requests at once.
+        rate: Requests per second, summed over all brokers.
+        burst: Requests that may arrive at once.
         work_ms: Milliseconds of one thread that a request takes.
-        value: What a served request is worth to the team.
+        value: The value of a served request to the team.
         memory_mb: Memory that a request holds.
     """
 
@@ -46,16 +46,16 @@
     """One team's contract.
 
     Attributes:
-        name: The team.
-        terms: What it was promised, by class.
-        share: The part of threads and memory that it may hold under load.
-        retry_share: Its part of the retry budget.
-        overflow: ``lend`` where it may borrow, else ``refuse``.
-        ports: Ports whose calls are the team's.
-        certificate_names: Names of client certificates whose calls are the team's.
-        requires_proof: Whether a call that only names the team is refused.
-        work_rate: Milliseconds of one thread a second that it was promised.
-        work_burst: Milliseconds of one thread that it may use at once.
+        name: The team's name.
+        terms: The promised terms by class.
+        share: The fraction of threads and memory that it may hold under load.
+        retry_share: Its fraction of the retry budget.
+        overflow: ``lend`` if it may borrow, else ``refuse``.
+        ports: Ports whose calls belong to the team.
+        certificate_names: Names of client certificates whose calls belong to the team.
+        requires_proof: Whether a call that names the team without proof is refused.
+        work_rate: The promised work, in milliseconds of one thread per second.
+        work_burst: The work that it may use at once, in milliseconds of one thread.
     """
 
     name: str
@@ -70,7 +70,7 @@
     work_burst: float = field(init=False)
 
     def __post_init__(self) -> None:
-        """Sum up the work once: every decision needs it."""
+        """Compute the sums of work once, since every admission needs them."""
         terms = self.terms.values()
         object.__setattr__(self, "work_rate", sum(each.rate * each.work_ms for each in terms))
         object.__setattr__(self, "work_burst", sum(each.burst * each.work_ms for each in terms))
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HolidayWindow:
-    """Days, both ends included, on which a team has other terms."""
+    """Days, first and last included, on which a team has different terms."""
 
     name: str
     team: str
@@ -94,11 +94,11 @@
 
     Attributes:
         teams: The teams by name.
-        work_rate: The capacity, in milliseconds of one thread a second.
-        threads: Requests' threads that may be held at the same time.
-        memory_mb: Memory that may be held at the same time.
-        default_team: The team of calls that are of no other; empty where such calls are refused.
-        windows: Days with other terms.
+        work_rate: The capacity, in milliseconds of one thread per second.
+        threads: Threads that all open requests together may hold.
+        memory_mb: Memory that all open requests together may hold.
+        default_team: The team of calls that identify no team; empty if such calls are refused.
+        windows: Days with different terms.
         teams_by_port: Names of teams by port.
         teams_by_certificate: Names of teams by the name of a client certificate.
     """
@@ -113,7 +113,7 @@
     teams_by_certificate: Map[str, str] = field(default_factory=Map)
 
     def on(self, day: date) -> Contract:
-        """Return the contract with the terms of a day."""
+        """Return the contract with the terms that apply on a day."""
         teams = self.teams
         for window in self.windows:
             if window.first <= day <= window.last:
--- a/umberusher/teams/contract_parser.py
+++ b/umberusher/teams/contract_parser.py
@@ -1,6 +1,6 @@
-"""Makes a contract of a script's values, and finds all that is wrong with it.
+"""Builds a contract from the values of a script, and reports all faults at once.
 
-A contract is taken whole or not at all; each fault says where in its file it is.
+A contract with a fault is rejected as a whole; each fault names its file and line.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 OVERFLOW_POLICIES = ("refuse", "lend")
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 
-# Sums of shares may exceed 1 by a rounding.
+# Sums of shares may exceed 1 by a rounding error.
 MAX_SUM = 1.0 + 1e-9
 
 MS_PER_S = 1000.0
@@ -59,16 +59,16 @@
 }
 
 
-def _shown(value: object) -> str:
-    """Return a value as faults show it."""
+def _quoted(value: object) -> str:
+    """Return a value as the faults quote it: shortened, with quotes."""
     return repr(str(value)[:40])
 
 
 class ContractParser:
-    """Makes the parts of a contract, and collects the faults.
+    """Builds the parts of a contract, and collects the faults.
 
     Attributes:
-        faults: A line for each fault.
+        faults: One line for each fault.
     """
 
     def __init__(self, locations: ScriptLocations, classes: frozenset[str] | None) -> None:
@@ -80,15 +80,15 @@
         """Add a fault.
 
         Args:
-            name: The entry of the script that has it.
-            words: Words after the name that lead to its line.
-            text: What is wrong.
+            name: The name of the script's entry that has the fault.
+            words: Words to search for after the name, one after the other, to find the line.
+            text: The description of the fault.
         """
         if len(self.faults) < MAX_FAULTS:
             self.faults.append(f"{self._locations.find(name, *words)}: {text}")
 
     def number(self, owner: str, value: object, words: tuple[str, ...], valid: _Range) -> float:
-        """Return a number; add a fault for a value that is none, or out of range."""
+        """Return a number; add a fault for a value that is no number or is out of range."""
         if (
             isinstance(value, (int, float))
             and not isinstance(value, bool)
@@ -97,7 +97,7 @@
         ):
             return float(value)
         self.add_fault(
-            owner, words, f"{owner}: {words[-1]} must be a number {valid}, not {_shown(value)}"
+            owner, words, f"{owner}: {words[-1]} must be a number {valid}, not {_quoted(value)}"
         )
         return 1.0
 
@@ -105,21 +105,21 @@
         """Return the terms of a team or window by class."""
         terms: dict[str, Terms] = {}
         if not isinstance(listed, list) or not listed:
-            self.add_fault(owner, (), f"{owner}: terms must be a list with a class at least")
+            self.add_fault(owner, (), f"{owner}: terms must be a list with at least one class")
             return Map()
         for item in listed:
             if not isinstance(item, dict) or item.get("is") != "terms":
-                fault = f"{owner}: terms holds {_shown(item)}, which is none"
+                fault = f"{owner}: terms holds {_quoted(item)}, which is not made by terms(...)"
                 self.add_fault(owner, ("terms",), fault)
                 continue
             name = item["class"]
             if self._classes is not None and name not in self._classes:
                 known = ", ".join(sorted(self._classes))
-                fault = f"{owner}: no class {_shown(name)}; there are {known}"
+                fault = f"{owner}: no class {_quoted(name)}; there are {known}"
                 self.add_fault(owner, (str(name),), fault)
                 continue
             if name in terms:
-                self.add_fault(owner, (str(name),), f"{owner}: class {name} is there twice")
+                self.add_fault(owner, (str(name),), f"{owner}: class {name} is listed twice")
             terms[str(name)] = self._class_terms(owner, item)
         return Map(terms)
 
@@ -146,12 +146,12 @@
         overflow = item["overflow"]
         if overflow not in OVERFLOW_POLICIES:
             policies = ", ".join(OVERFLOW_POLICIES)
-            fault = f"{name}: overflow must be one of {policies}, not {_shown(overflow)}"
+            fault = f"{name}: overflow must be one of {policies}, not {_quoted(overflow)}"
             self.add_fault(name, ("overflow",), fault)
         ports = self._ports(name, item["ports"] or ())
         certificate_names = tuple(str(each) for each in item["names"] or ())
         if item["proof"] and not ports and not certificate_names:
-            fault = f"{name}: proof is wanted, and there is neither a port nor a name for it"
+            fault = f"{name}: proof is required, but neither ports nor names are given"
             self.add_fault(name, ("proof",), fault)
         return Team(
             name,
@@ -173,7 +173,7 @@
         return ports
 
     def window(self, item: Mapping[str, Any], teams: Mapping[str, Team]) -> HolidayWindow | None:
-        """Return one holiday; None where its team or its days make no sense."""
+        """Return one holiday window; None if its team is unknown or a date is invalid."""
         name = str(item["name"])
         team = str(item["team"])
         if team not in teams:
@@ -201,25 +201,25 @@
         try:
             return date.fromisoformat(str(value))
         except ValueError:
-            fault = f"window {name}: {key} must be a date as 2026-04-03, not {_shown(value)}"
+            fault = f"window {name}: {key} must be a date as 2026-04-03, not {_quoted(value)}"
             self.add_fault(name, (key,), fault)
             return None
 
-    # -- Checks of the whole
+    # -- Checks across teams and windows
 
     def check_overlaps(self, windows: list[HolidayWindow]) -> None:
-        """Add a fault for two holidays of one team on one day: it would be open which counts."""
+        """Add a fault for each overlap of a team's holidays: it is undefined which one applies."""
         latest: dict[str, HolidayWindow] = {}
         for window in sorted(windows, key=lambda each: (each.team, each.first)):
-            before = latest.get(window.team)
-            if before and window.first <= before.last:
-                fault = f"window {window.name} overlaps {before.name} of {window.team}"
+            previous = latest.get(window.team)
+            if previous and window.first <= previous.last:
+                fault = f"window {window.name} overlaps {previous.name} of {window.team}"
                 self.add_fault(window.name, ("first",), fault)
-            if before is None or window.last > before.last:
+            if previous is None or window.last > previous.last:
                 latest[window.team] = window
 
     def check_ownership(self, teams: list[Team]) -> None:
-        """Add a fault for each port or certificate's name that two teams have."""
+        """Add a fault for each port or certificate name that belongs to two teams."""
         port_owners: dict[object, str] = {}
         name_owners: dict[object, str] = {}
         for team in teams:
@@ -231,20 +231,20 @@
     ) -> None:
         for value in values:
             if value in owners:
-                fault = f"{team}: {kind} {value} is {owners[value]}'s already"
+                fault = f"{team}: {kind} {value} belongs to {owners[value]} already"
                 self.add_fault(team, (f"{kind}s",), fault)
             owners[value] = team
 
     def check_sums(self, contract: Contract, last_team: str) -> None:
-        """Add a fault for each day on which more is promised than there is."""
+        """Add a fault for each day on which the promises exceed the capacity."""
         for day in _days_of_change(contract.windows):
             teams = contract.on(day).teams.values()
-            when = "" if day == date.min else f" on {day}"
+            day_text = "" if day == date.min else f" on {day}"
             capacity = contract.work_rate / MS_PER_S
             promised = sum(team.work_rate for team in teams) / MS_PER_S
             if promised > contract.work_rate * MAX_SUM / MS_PER_S:
                 fault = (
-                    f"the teams are promised {promised:g} threads of work{when}, "
+                    f"the teams are promised {promised:g} threads of work{day_text}, "
                     f"and the capacity is {capacity:g}"
                 )
                 self.add_fault("capacity", (), fault)
@@ -254,19 +254,19 @@
             }
             for word, total in totals.items():
                 if total > MAX_SUM:
-                    fault = f"the teams' {word}s add up to {total:.4g}{when}, more than 1"
+                    fault = f"the teams' {word}s add up to {total:.4g}{day_text}, more than 1"
                     self.add_fault(last_team, (word,), fault)
 
 
 def _days_of_change(windows: tuple[HolidayWindow, ...]) -> Iterator[date]:
-    """Yield a day before all windows, and each on which one begins."""
+    """Yield a day before all windows, and the first day of each window."""
     yield date.min
     for window in windows:
         yield window.first
 
 
 def _check_shape(file: str, values: Mapping[str, Any], windows: object) -> None:
-    """Raise ContractError where a value is not made by the functions of the script."""
+    """Raise ContractError if a value was not made by the functions of the script."""
     capacity = values.get("capacity")
     teams = values.get("teams")
     if not isinstance(capacity, dict) or capacity.get("is") != "fleet":
@@ -282,16 +282,16 @@
 def parse_contract(
     file: str, text: str, values: Mapping[str, Any], classes: frozenset[str] | None = None
 ) -> Contract:
-    """Return the contract of a script's values.
+    """Return the contract that a script's values describe.
 
     Args:
-        file: The script's file, for faults.
-        text: Its text.
-        values: Its values.
-        classes: The classes of the settings; None where names are not checked.
+        file: The script's file, named by the faults.
+        text: The script's text.
+        values: The script's values.
+        classes: The classes of the settings; None if names of classes are not checked.
 
     Raises:
-        ContractError: With all that is wrong, by file and line.
+        ContractError: The contract has faults; the message lists all of them by file and line.
     """
     holidays = values.get("holidays") or []
     _check_shape(file, values, holidays)
@@ -300,11 +300,11 @@
     teams_by_name: dict[str, Team] = {}
     for team in teams:
         if team.name in teams_by_name:
-            parser.add_fault(team.name, (), f"team {team.name} is there twice")
+            parser.add_fault(team.name, (), f"team {team.name} is defined twice")
         teams_by_name[team.name] = team
     default_team = values.get("strangers") or ""
     if default_team and default_team not in teams_by_name:
-        fault = f"strangers: there is no team {_shown(default_team)}"
+        fault = f"strangers: there is no team {_quoted(default_team)}"
         parser.add_fault("strangers", (), fault)
     windows = [
         window for item in holidays if (window := parser.window(item, teams_by_name)) is not None
--- a/umberusher/teams/cost_correction.py
+++ b/umberusher/teams/cost_correction.py
@@ -1,10 +1,11 @@
-"""Corrects clients' estimates of cost by what the team's requests of that class really took.
-
-Time at an engine grows with all requests there, whoever sent them; if it were charged as measured,
-one team's surge would consume the others' budgets. So each team's ratio of actual to estimated time
-is compared with the lower median of all teams: what is slow for all is charged to nobody, and a
-team that estimates ten times too low stands out by ten. The lower median, since of two teams the
-one with the larger ratio is the one that is off.
+"""Corrects clients' cost estimates by the actual time of the team's requests of that class.
+
+The time at an engine grows with all requests there, whichever team sent them; if it were charged as
+measured, one team's surge would consume the budgets of the others. So each team's ratio of actual
+to estimated time is divided by the lower median of all teams: a slowdown that affects all teams is
+charged to none, and a team that estimates ten times too low is corrected by a factor of ten. The
+lower median is used because of two teams the one with the larger ratio is the one that
+underestimates.
 """
 
 from __future__ import annotations
@@ -12,35 +13,35 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-# The part of the sums that each request replaces: some 32 requests are remembered.
+# Weight of each new request in the moving averages, which cover about 32 requests.
 RATIO_GAIN = 1 / 32
 
-# Requests before which a ratio says nothing.
+# Number of requests from which on a ratio is used.
 MIN_OBSERVATIONS = 8
 
 MIN_FACTOR = 0.1
 MAX_FACTOR = 20.0
 
-# Requests of a class after which its median is computed anew.
+# Number of requests of a class after which its median is recomputed.
 NORM_INTERVAL = 16
 
-# Requests of a class up to which its median is computed each time.
+# Number of requests of a class up to which its median is recomputed for each request.
 NORM_WARM_UP = 4 * NORM_INTERVAL
 
-# Guards the division by a median of next to nothing.
+# Lower bound of a median, which is a divisor.
 MIN_NORM = 1e-3
 
-# The ratios of a class that the median is computed of, and that are kept: those of the latest
-# teams.
+# Number of ratios kept for a class, from which its median is computed: those of the teams with the
+# latest requests.
 MAX_TEAMS_PER_CLASS = 256
 
 CorrectionState = dict[str, dict[str, list[float]]]
-"""The sums for a successor: estimated, actual and observations, by class and team."""
+"""The averages for a successor: estimated, actual and observations, by class and team."""
 
 
 @dataclass(slots=True)
 class CostRatio:
-    """Fading sums of one team and class."""
+    """Moving averages of one team and class."""
 
     estimated_ms: float = 0.0
     actual_ms: float = 0.0
@@ -48,7 +49,7 @@
 
     @property
     def value(self) -> float:
-        """Actual by estimated."""
+        """The actual time divided by the estimated time."""
         return self.actual_ms / self.estimated_ms if self.estimated_ms > 0.0 else 1.0
 
     def add(self, estimated_ms: float, actual_ms: float) -> None:
@@ -64,13 +65,13 @@
 
 @dataclass(slots=True)
 class ClassNorm:
-    """The usual ratio of a class.
+    """The typical ratio of a class.
 
     Attributes:
         value: The lower median of the teams' ratios.
-        since_update: Requests since it was computed.
-        observations: All requests.
-        ratios: The ratios by team, the latest one at the end.
+        since_update: Requests since the median was computed.
+        observations: All requests of the class.
+        ratios: The ratios by team; the team with the latest request is the last one.
     """
 
     value: float = 1.0
@@ -79,11 +80,11 @@
     ratios: dict[str, CostRatio] = field(default_factory=dict)
 
     def median(self) -> float:
-        """Return the lower median of the ratios that say something; 1 where none does."""
-        known = sorted(
+        """Return the lower median of the ratios with enough observations; 1 if there are none."""
+        ratios = sorted(
             ratio.value for ratio in self.ratios.values() if ratio.observations >= MIN_OBSERVATIONS
         )
-        return max(known[(len(known) - 1) // 2], MIN_NORM) if known else 1.0
+        return max(ratios[(len(ratios) - 1) // 2], MIN_NORM) if ratios else 1.0
 
 
 class CostCorrections:
@@ -95,7 +96,7 @@
         self.norms: dict[str, ClassNorm] = {}
 
     def observe(self, team: str, query_class: str, estimated_ms: float, actual_ms: float) -> float:
-        """Add a request that has ended; return its time without what is slow for all."""
+        """Add an ended request; return its time without the slowdown common to all teams."""
         norm = self.norms.setdefault(query_class, ClassNorm())
         ratio = norm.ratios.pop(team, None) or CostRatio()
         norm.ratios[team] = ratio
@@ -118,7 +119,7 @@
         return min(max(ratio.value / norm.value, MIN_FACTOR), MAX_FACTOR)
 
     def state(self) -> CorrectionState:
-        """Return the sums for a successor."""
+        """Return the averages for a successor."""
         return {
             query_class: {
                 team: [ratio.estimated_ms, ratio.actual_ms, ratio.observations]
@@ -128,7 +129,7 @@
         }
 
     def restore(self, state: Mapping[str, Mapping[str, list[float]]]) -> None:
-        """Take the sums of the process before."""
+        """Restore the averages of the predecessor."""
         for query_class, teams in state.items():
             norm = self.norms.setdefault(query_class, ClassNorm())
             for team, (estimated_ms, actual_ms, observations) in teams.items():
--- a/umberusher/teams/handover.py
+++ b/umberusher/teams/handover.py
@@ -1,8 +1,8 @@
-"""The teams' state for the process that takes over at a hot restart.
+"""Hands the state of the teams over to the successor at a hot restart.
 
-Times are sent as what has passed or is to come: the clocks of both processes need not agree. The
-successor receives the state when it starts, and once it accepts what has been counted since. The
-keys are those of the hot-restart messages.
+Times are sent as durations relative to now, since the clocks of the two processes need not agree.
+The successor receives the state when it starts, and the counts made since then when it begins to
+accept clients. The keys are those of the hot-restart messages.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _TeamCounts:
-    """What a team had been charged, and how often."""
+    """A team's charged work and its counts of requests and retries."""
 
     charged: float
     own: Counter[str]
@@ -39,10 +39,10 @@
         self._teams = teams
         self._exported: dict[str, _TeamCounts] | None = None
 
-    # -- The process before
+    # -- Predecessor
 
     def export_state(self, now_ms: float) -> dict[str, Any]:
-        """Return the state for a successor, and remember what was counted by now."""
+        """Return the state for a successor, and store the counts at this moment."""
         teams = self._teams
         now = teams.advance(now_ms)
         self._exported = self._counts()
@@ -54,13 +54,13 @@
         }
 
     def export_later_counts(self) -> dict[str, Any]:
-        """Return what was counted since the state was exported; empty if it never was."""
-        before = self._exported
-        if before is None:
+        """Return the counts made since the state was exported; empty if it never was."""
+        exported = self._exported
+        if exported is None:
             return {}
         return {
             "later": {
-                name: _difference(counts, before.get(name, _NO_COUNTS))
+                name: _difference(counts, exported.get(name, _NO_COUNTS))
                 for name, counts in self._counts().items()
             }
         }
@@ -76,29 +76,29 @@
             for name, usage in self._teams.usage.items()
         }
 
-    # -- The successor
+    # -- Successor
 
     def restore(self, now_ms: float, state: Mapping[str, Any]) -> None:
-        """Take the state of the process before; nothing has been admitted here yet."""
+        """Restore the predecessor's state; called before the first request is admitted."""
         teams = self._teams
         now = teams.advance(now_ms)
         for name, budgets in state["teams"].items():
             team = teams.contract.teams.get(name)
             if team is None:
                 continue
-            own = teams.states.setdefault(name, TeamState())
-            _extend(own.work_budget, now + float(budgets["full"]))
+            team_state = teams.states.setdefault(name, TeamState())
+            _extend(team_state.work_budget, now + float(budgets["full"]))
             for query_class, full_ms in budgets["rates"].items():
                 if query_class in team.terms:
-                    budget = own.rate_budgets.setdefault(query_class, RateBudget())
+                    budget = team_state.rate_budgets.setdefault(query_class, RateBudget())
                     _extend(budget, now + float(full_ms))
-            teams.hold_back_inflow(now, name, own, teams.work_limit(team).rate)
+            teams.hold_back_inflow(now, name, team_state, teams.work_limit(team).rate)
         teams.pool.level = min(float(state["pool"]), teams.pool.depth)
         teams.costs.restore(state["costs"])
         teams.retry_budgets.restore(state["ration"], now)
 
     def add_later_counts(self, now_ms: float, later: Mapping[str, Any]) -> None:
-        """Charge what the process before has charged since it exported its state."""
+        """Charge what the predecessor has charged since it exported its state."""
         teams = self._teams
         now = teams.advance(now_ms)
         for name, counts in later.items():
@@ -128,15 +128,15 @@
     }
 
 
-def _difference(now: _TeamCounts, before: _TeamCounts) -> dict[str, Any]:
+def _difference(current: _TeamCounts, exported: _TeamCounts) -> dict[str, Any]:
     return {
-        "charged": now.charged - before.charged,
-        "own": dict(now.own - before.own),
-        "taken": now.admitted - before.admitted,
-        "extra": now.retries - before.retries,
+        "charged": current.charged - exported.charged,
+        "own": dict(current.own - exported.own),
+        "taken": current.admitted - exported.admitted,
+        "extra": current.retries - exported.retries,
     }
 
 
 def _extend(budget: RateBudget, full_ms: float) -> None:
-    """Charge a budget as far as the process before had; never give back."""
+    """Charge a budget as far as the predecessor's was; never refund."""
     budget.full_ms = max(budget.full_ms, full_ms)
--- a/umberusher/teams/identity.py
+++ b/umberusher/teams/identity.py
@@ -1,8 +1,8 @@
-"""Identifies the team of a call: by its field, its port, or the client certificate's name.
+"""Identifies the team of a call: by a field of the call, its port, or its client certificate.
 
 A port and a certificate are proofs, the field is a claim. A claim that differs from a proof is
-refused, and so is a claim alone for a team that requires proof. Every front protocol fills in an
-origin as it can.
+refused, and so is a claim without proof for a team that requires one. Each client protocol fills in
+the parts of the origin that it knows.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Origin:
-    """Where a call came from.
+    """The origin of a call, as its connection proves it.
 
     Attributes:
         port: The port that the client connected to.
@@ -27,9 +27,9 @@
 
 
 class UnidentifiedReason(Enum):
-    """Why a call is of no team.
+    """The reason why no team was identified for a call.
 
-    The names are the labels of the metrics, the values are told to the client.
+    The names are labels of metrics, the values are part of the error that is sent to the client.
     """
 
     NOBODY = "no team is named"
@@ -39,10 +39,10 @@
 
 
 class UnidentifiedTeamError(Exception):
-    """A call is of no team.
+    """No team was identified for a call.
 
     Attributes:
-        reason: Why.
+        reason: The reason.
     """
 
     def __init__(self, reason: UnidentifiedReason) -> None:
@@ -58,11 +58,11 @@
 
     Args:
         contract: The contract that names the teams.
-        claim: The team that the call names, if it does.
-        origin: What the connection proves.
+        claim: The team that the call names; None or empty if it names none.
+        origin: The origin that the connection proves.
 
     Raises:
-        UnidentifiedTeamError: The call is of no team.
+        UnidentifiedTeamError: No team was identified for the call.
     """
     proven = set()
     if origin.port is not None and origin.port in contract.teams_by_port:
--- a/umberusher/teams/lending_pool.py
+++ b/umberusher/teams/lending_pool.py
@@ -1,10 +1,10 @@
-"""The promised capacity that nobody uses, which other teams may borrow.
+"""The pool of promised but unused capacity, which other teams may borrow.
 
-A team whose budget is full lets its whole rate flow into the pool; one whose budget is not full
-keeps all of it. So the inflow is the capacity less the rates of the teams that are not full, and it
-changes only when a team is charged or becomes full again. Those moments wait in a heap, so that a
-decision costs the same with 10 teams and with 10,000. The depth bounds what borrowers can still
-take once the owners are back.
+The whole rate of a team whose budget is full flows into the pool; a team whose budget is not full
+contributes nothing. So the inflow is the capacity less the rates of the teams with a budget that is
+not full, and it changes only when a team is charged or its budget becomes full again. These times
+are kept in a heap, so that a decision costs the same with 10 teams and with 10,000. The depth
+bounds the work that borrowers can still use once the owners are active again.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 class LendingPool:
-    """A pool of work; rates are units of work a millisecond.
+    """A pool of work; rates are units of work per millisecond.
 
     Attributes:
-        capacity: The inflow when all teams' budgets are full.
-        depth: The most that the pool holds.
+        capacity: The rate of inflow when the budgets of all teams are full.
+        depth: The maximum level of the pool.
         at_ms: The time up to which the inflow has been added.
-        flow_rate: The inflow now.
-        level: What the pool holds.
-        inflow: All that ever flowed in.
-        lent: All that was lent, less what was given back.
-        overflow: All that found the pool full.
+        flow_rate: The current rate of inflow.
+        level: The work that the pool holds.
+        inflow: The total inflow.
+        lent: The total work lent, less the work returned.
+        overflow: The total inflow that was lost because the pool was full.
     """
 
     __slots__ = (
         "_full_heap",
-        "_held_back",
+        "_held_back_rates",
         "at_ms",
         "capacity",
         "depth",
@@ -49,25 +49,25 @@
         self.inflow = 0.0
         self.lent = 0.0
         self.overflow = 0.0
-        self._held_back: dict[str, float] = {}
+        self._held_back_rates: dict[str, float] = {}
         self._full_heap: list[tuple[float, str]] = []
 
     def advance(self, now_ms: float, full_ms: Callable[[str], float]) -> None:
-        """Add the inflow up to now; a time that lies back is ignored.
+        """Add the inflow up to now; an earlier time is ignored.
 
         Args:
             now_ms: The time now.
-            full_ms: Returns when a team's budget is full again.
+            full_ms: Returns the time at which a team's budget is full again.
         """
         while self._full_heap and self._full_heap[0][0] <= now_ms:
             at_ms, team = heapq.heappop(self._full_heap)
             team_full_ms = full_ms(team)
             if team_full_ms > at_ms:
-                # The team has been charged since.
+                # The team has been charged since this time was queued.
                 heapq.heappush(self._full_heap, (team_full_ms, team))
                 continue
             self._add_inflow(at_ms)
-            self.flow_rate += self._held_back.pop(team, 0.0)
+            self.flow_rate += self._held_back_rates.pop(team, 0.0)
         self._add_inflow(now_ms)
 
     def _add_inflow(self, until_ms: float) -> None:
@@ -79,19 +79,19 @@
         self._add(amount)
 
     def _add(self, amount: float) -> None:
-        room = self.depth - self.level
-        self.level += min(amount, room)
-        self.overflow += max(amount - room, 0.0)
+        unfilled = self.depth - self.level
+        self.level += min(amount, unfilled)
+        self.overflow += max(amount - unfilled, 0.0)
 
     def hold_back(self, team: str, rate: float, full_ms: float) -> None:
-        """Stop a team's inflow until its budget, which is not full any more, is full again."""
-        if team not in self._held_back:
-            self._held_back[team] = rate
+        """Stop the inflow of a team whose budget is no longer full, until it is full again."""
+        if team not in self._held_back_rates:
+            self._held_back_rates[team] = rate
             self.flow_rate -= rate
             heapq.heappush(self._full_heap, (full_ms, team))
 
     def lend(self, cost: float) -> bool:
-        """Lend a cost; return whether the pool had it."""
+        """Lend the work of a cost; return whether the pool held enough."""
         if self.level < cost:
             return False
         self.level -= cost
@@ -99,12 +99,12 @@
         return True
 
     def give_back(self, cost: float) -> None:
-        """Take back what was lent and not used; what does not fit overflows."""
+        """Return lent work that was not used; what exceeds the depth overflows."""
         self.lent -= cost
         self._add(cost)
 
-    def succeed(self, predecessor: LendingPool) -> None:
-        """Continue with the level and the totals of the pool before, as far as they fit."""
+    def continue_from(self, predecessor: LendingPool) -> None:
+        """Continue with the level and totals of the previous pool, as far as the depth allows."""
         self.level = min(predecessor.level, self.depth)
         self.inflow = predecessor.inflow
         self.lent = predecessor.lent
--- a/umberusher/teams/rate_budget.py
+++ b/umberusher/teams/rate_budget.py
@@ -1,8 +1,8 @@
 """A budget that refills at a rate up to a burst: the generic cell rate algorithm, with costs.
 
-Source: ITU-T Recommendation I.371 (the virtual scheduling form). The number is the moment at which
-the budget will be full again; a cost moves it on by cost/rate. Times are in milliseconds, rates in
-units a millisecond.
+Source: ITU-T Recommendation I.371 (the virtual scheduling form). The state is one number, the time
+at which the budget will be full again; a charge moves it later by cost/rate. Times are in
+milliseconds, rates in units per millisecond.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class RateLimit(NamedTuple):
-    """How fast a budget refills, and how much it holds."""
+    """The refill rate of a budget, and the maximum that it holds."""
 
     rate: float
     burst: float
@@ -21,7 +21,7 @@
     """One budget; it starts full.
 
     Attributes:
-        full_ms: When the budget is full again, if nothing else is charged.
+        full_ms: The time at which the budget is full again, if nothing else is charged.
     """
 
     __slots__ = ("full_ms",)
@@ -30,22 +30,22 @@
         self.full_ms = full_ms
 
     def level(self, now_ms: float, rate: float, burst: float) -> float:
-        """Return what the budget holds; negative where there is a debt."""
+        """Return the level of the budget; a debt is negative."""
         return burst - max(self.full_ms - now_ms, 0.0) * rate
 
     def is_full(self, now_ms: float) -> bool:
-        """Return whether the budget holds its burst, so that what flows in overflows."""
+        """Return whether the budget holds its full burst, so that further inflow is lost to it."""
         return self.full_ms <= now_ms
 
     def can_afford(self, now_ms: float, cost: float, rate: float, burst: float) -> bool:
         """Return whether a cost may be charged.
 
-        A cost above the burst may be charged when the budget is full: else it never could.
+        A cost above the burst may be charged when the budget is full; otherwise it never could be.
         """
         return self.is_full(now_ms) or self.level(now_ms, rate, burst) >= cost
 
     def charge(self, now_ms: float, cost: float, rate: float) -> None:
-        """Charge a cost, whatever the level is; a negative cost gives back."""
+        """Charge a cost regardless of the level; a negative cost is a refund."""
         if rate > 0.0:
             self.full_ms = max(self.full_ms, now_ms) + cost / rate
         elif cost > 0.0:
@@ -59,7 +59,7 @@
         return max(self.full_ms - now_ms - (burst - needed) / rate, 0.0)
 
     def limit_debt(self, now_ms: float, rate: float, burst: float, max_debt: float) -> float:
-        """Bound the debt; return what was forgiven."""
+        """Reduce the debt to its maximum; return the amount that was forgiven."""
         excess = -self.level(now_ms, rate, burst) - max_debt
         if excess <= 0.0 or rate <= 0.0:
             return 0.0
--- a/umberusher/teams/script_locations.py
+++ b/umberusher/teams/script_locations.py
@@ -1,10 +1,10 @@
-"""Finds where a value stands in a contract's script."""
+"""Finds the line of a value in a contract's script."""
 
 from __future__ import annotations
 
 import re
 
-# Lines of a team's or window's entry that are searched for a word.
+# Number of lines of a team's or window's entry that are searched for a word.
 MAX_ENTRY_LINES = 40
 
 _ENTRY = re.compile(r"\b(team|window)\s*\(")
@@ -22,7 +22,8 @@
 
         Args:
             name: The name of a team, a window or a variable.
-            words: The line moves on to the first mention of each, within the name's entry.
+            words: Words to search for one after the other, within the name's entry; the line is
+                that of the last one found.
         """
         mention = re.compile(rf"""["']{re.escape(name)}["']|^{re.escape(name)}\s*=""")
         index = next((n for n, line in enumerate(self._lines) if mention.search(line)), None)
@@ -33,7 +34,7 @@
         return f"{self._file}:{index + 1}"
 
     def _find_word(self, word: str, start: int) -> int:
-        """Return the index of the first line that has a word; the start where none does."""
+        """Return the index of the first line with a word; the start if no line has it."""
         pattern = re.compile(rf"\b{re.escape(word)}\b")
         for index in range(start, min(start + MAX_ENTRY_LINES, len(self._lines))):
             code = self._lines[index].split("#", 1)[0]
--- a/umberusher/teams/statement.py
+++ b/umberusher/teams/statement.py
@@ -1,8 +1,8 @@
 """A statement over a period: what each team was promised, used and was refused. No I/O.
 
-Made of the counts that brokers log at intervals, which run from a broker's start. What a broker has
-counted in the period is its last event less its first one; counts that go back show a broker that
-was restarted.
+It is computed from the counts that brokers log at intervals, which are totals since a broker's
+start. The counts of a broker over the period are the sum of the differences between successive
+events; a total that decreases shows that the broker was restarted.
 """
 
 from __future__ import annotations
@@ -20,13 +20,15 @@
 SUM_FIELDS = ("work_ms", "borrowed_ms", "forgiven_ms", "worth", "marked")
 MAX_DEFECTS = 100
 
-_NOTHING: dict[str, Any] = {name: {} for name in COUNTER_FIELDS} | dict.fromkeys(SUM_FIELDS, 0.0)
+_ZERO_COUNTS: dict[str, Any] = {name: {} for name in COUNTER_FIELDS} | dict.fromkeys(
+    SUM_FIELDS, 0.0
+)
 """The counts of a broker that has just started."""
 
 
 @dataclass(slots=True)
 class TeamTotals:
-    """What one team has used in the period, by the fields of the events."""
+    """The usage of one team in the period, by the fields of the events."""
 
     counters: dict[str, Counter[str]] = field(
         default_factory=lambda: {name: Counter() for name in COUNTER_FIELDS}
@@ -36,13 +38,13 @@
 
 @dataclass(slots=True)
 class StatementReader:
-    """Adds up brokers' logs, one after the other.
+    """Adds up the logs of brokers, one after the other.
 
     Attributes:
-        totals: What was used, by team.
+        totals: The usage by team.
         first_ms: The time of the first event.
-        last_ms: The time of the last one.
-        defects: Events that can't be used, by log and line.
+        last_ms: The time of the last event.
+        defects: Malformed events, with log and line.
     """
 
     totals: dict[str, TeamTotals] = field(default_factory=dict)
@@ -51,7 +53,7 @@
     defects: list[str] = field(default_factory=list)
 
     def read(self, name: str, log: Iterable[str]) -> None:
-        """Add one broker's log; lines without a team's counts are skipped."""
+        """Add the log of one broker; lines without counts of a team are skipped."""
         previous: dict[str, dict[str, Any]] = {}
         for number, line in enumerate(log, 1):
             if '"team"' not in line:
@@ -70,18 +72,18 @@
             self.first_ms = min(self.first_ms, at_ms)
             self.last_ms = max(self.last_ms, at_ms)
 
-    def _add(self, team: str, event: Mapping[str, Any], before: Mapping[str, Any] | None) -> None:
-        """Add what was counted since the event before: all of it, or nothing."""
-        if before is None or float(event["work_ms"]) < float(before["work_ms"]):
-            before = _NOTHING
+    def _add(self, team: str, event: Mapping[str, Any], previous: Mapping[str, Any] | None) -> None:
+        """Add the counts since the previous event; a malformed event adds nothing."""
+        if previous is None or float(event["work_ms"]) < float(previous["work_ms"]):
+            previous = _ZERO_COUNTS
         counters = {
             name: {
-                key: int(value) - int(before[name].get(key, 0))
+                key: int(value) - int(previous[name].get(key, 0))
                 for key, value in event[name].items()
             }
             for name in COUNTER_FIELDS
         }
-        sums = {name: float(event[name]) - float(before[name]) for name in SUM_FIELDS}
+        sums = {name: float(event[name]) - float(previous[name]) for name in SUM_FIELDS}
         totals = self.totals.setdefault(team, TeamTotals())
         for name, counts in counters.items():
             totals.counters[name].update(counts)
--- a/umberusher/teams/team_state.py
+++ b/umberusher/teams/team_state.py
@@ -1,4 +1,4 @@
-"""What is open for one team at one broker, and what its budgets hold."""
+"""The open requests of one team at one broker, and the levels of its budgets."""
 
 from __future__ import annotations
 
@@ -6,24 +6,30 @@
 
 from umberusher.teams.rate_budget import RateBudget
 
-# How fast the rate of released threads follows: some 16 releases are remembered.
+# Weight of each release in the moving average of the release rate, which covers about 16 releases.
 RELEASE_RATE_GAIN = 1 / 16
 
-# How far ahead rejected requests are staggered.
+# Maximum delay up to which the retries of rejected requests are staggered.
 MAX_STAGGER_MS = 10_000.0
 
-# Retry-After is whole milliseconds, and the budget must cover the request by then.
+# Added to each delay: Retry-After is sent in whole milliseconds, and the budget must cover the
+# request by then.
 ROUNDING_MS = 1.0
 
 
 class TeamState:
     """The budgets and open requests of a team.
 
-    Attributes: work_budget: Its work. rate_budgets: Its requests, by class. open_count: Its open
-        requests. threads: Threads that they hold. memory_mb: Memory that they hold. lent_ms: Open
-        work that runs on lent budget. retry_after_until_ms: By class, the latest time that a
-        rejected request was told to come back. release_rate: Threads a millisecond that its
-        requests release.
+    Attributes:
+        work_budget: The budget of work.
+        rate_budgets: The budgets of requests, by class.
+        open_count: The number of open requests.
+        threads: Threads that the open requests hold.
+        memory_mb: Memory that the open requests hold.
+        lent_ms: Work of open requests that run on borrowed work.
+        retry_after_until_ms: By class, the latest time at which a rejected request was asked to
+            retry.
+        release_rate: Threads per millisecond that ending requests release.
     """
 
     __slots__ = (
@@ -56,7 +62,7 @@
         self.memory_mb += memory_mb
 
     def release(self, now_ms: float, threads: float, memory_mb: float) -> None:
-        """Remove an open request, and learn the rate at which threads are released."""
+        """Remove an open request, and update the rate at which threads are released."""
         self.open_count -= 1
         self.threads = max(self.threads - threads, 0.0)
         self.memory_mb = max(self.memory_mb - memory_mb, 0.0)
@@ -68,23 +74,23 @@
         self._released_ms = now_ms
 
     def stagger(self, now_ms: float, query_class: str, wait_ms: float, interval_ms: float) -> float:
-        """Return the wait of a rejected request, an interval after that of the one before.
+        """Return the retry delay of a rejected request, an interval after the previous one's.
 
         Args:
             now_ms: The time now.
-            query_class: Its class.
-            wait_ms: How long it takes until the budgets cover it.
-            interval_ms: How long they take for each further one.
+            query_class: The request's class.
+            wait_ms: The time until the budgets cover the request.
+            interval_ms: The time in which the budgets refill by one request.
         """
         previous_ms = self.retry_after_until_ms.get(query_class, 0.0)
-        at_ms = max(now_ms + wait_ms, previous_ms + interval_ms)
-        if at_ms > now_ms + MAX_STAGGER_MS or math.isinf(at_ms):
+        retry_at_ms = max(now_ms + wait_ms, previous_ms + interval_ms)
+        if retry_at_ms > now_ms + MAX_STAGGER_MS or math.isinf(retry_at_ms):
             return max(wait_ms, MAX_STAGGER_MS)
-        at_ms += ROUNDING_MS
+        retry_at_ms += ROUNDING_MS
         if self.open_count or self.rate_budgets:
-            # Else this state is not kept; such a request would have been admitted.
-            self.retry_after_until_ms[query_class] = at_ms
-        return at_ms - now_ms
+            # Otherwise this state is not kept, and such a request would have been admitted.
+            self.retry_after_until_ms[query_class] = retry_at_ms
+        return retry_at_ms - now_ms
 
     def is_idle(self, now_ms: float) -> bool:
         """Return whether nothing is open and all budgets are full."""
--- a/umberusher/teams/usage.py
+++ b/umberusher/teams/usage.py
@@ -1,4 +1,4 @@
-"""What a team has used of a broker since its start; metrics and statements are made of it."""
+"""The usage of one team at one broker since its start, the source of metrics and statements."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
         rejected: Rejected requests, by reason.
         served: Requests served, by class.
         work_ms: Work used, in milliseconds of one thread.
-        borrowed_ms: The part of it that was lent.
-        forgiven_ms: Debt that was forgiven.
-        value: The sum of what the requests served are worth by the contract.
-        retries: Retries by right.
-        retries_denied: Requests for which there was no retry when one was first wanted.
-        client_retries: Requests that were retries of the client's own.
+        borrowed_ms: Work of requests that were admitted on lent work, in milliseconds of one
+            thread.
+        forgiven_ms: Debt that was forgiven, in milliseconds of one thread.
+        value: The sum of the contract's values of the requests served.
+        retries: Retries, by the right under which they were made.
+        retries_denied: Requests for which a retry was denied at least once.
+        client_retries: Requests that the client itself had sent before.
     """
 
     own: Counter[str] = field(default_factory=Counter)
--- a/umberusher/wire.py
+++ b/umberusher/wire.py
@@ -1,9 +1,9 @@
-"""Words of the text wire that the simulator's lines and the engines' lines share."""
+"""Field names that the simulator's text wire and the engines' text protocol share."""
 
 from __future__ import annotations
 
-# Fields of a load report by their names on the wire. A report that has one of those without a
-# field of its own is a report all the same: nothing is decided by what it says.
+# Fields of a load report by their names on the wire. None marks a name that is valid but not read,
+# since no decision depends on it; a report with only such names still counts as a report.
 LOAD_REPORT_FIELDS: dict[str, str | None] = {
     "load_share": "utilization",
     "concurrent": "in_flight",
