--- a/tests/client_calls.py
+++ b/tests/client_calls.py
@@ -1,4 +1,4 @@
-"""Calls of clients, and clients with small buffers, as tests of several packages use them."""
+"""Client calls, and clients with small buffers, shared by the tests of several packages."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def client_with_small_buffer(rig) -> Peer:
-    """A client whose side takes little at a time."""
+    """Return a client with a small receive buffer, so that the broker can write little at a time."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.connect(rig.broker.frontend.listener.sock.getsockname())
@@ -30,12 +30,12 @@
 
 
 def newest_client_connection(rig):
-    """The broker's side of the newest client."""
+    """Return the broker's connection of the newest client."""
     return list(rig.broker.frontend.clients)[-1]
 
 
 def read_to_end(peer: Peer, step) -> bytes:
-    """All that a peer gets to the end of its connection; a reset shows as an exception."""
+    """Return all that a peer receives until its connection ends; a reset raises an exception."""
     peer.sock.setblocking(False)
     for _ in range(4000):
         try:
@@ -46,4 +46,4 @@
         if not data:
             return peer.got
         peer.got += data
-    raise AssertionError("it did not end")
+    raise AssertionError("the connection did not end within 4000 reads")
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -1,4 +1,4 @@
-"""The adapter through the very command of deploy/balancer.toml, on lines written by hand."""
+"""Tests of the simulator's host on hand-written lines, run by the command of deploy/balancer.toml."""
 
 from __future__ import annotations
 
@@ -42,29 +42,34 @@
 REQUEST = "request\ti=gateway/{}\tmsg_id={}\tcls=short\tdeadline_ms=9000\ttables=3\tshade=blue"
 
 
-def batch(turn: int, *lines: str, now: float = 4000.5) -> str:
-    return "\n".join([f"batch\tnow_ms={now}\tturn={turn}", *lines, "over_to_you", ""])
+def batch(number: int, *lines: str, now_ms: float = 4000.5) -> str:
+    return "\n".join([f"batch\tnow_ms={now_ms}\tturn={number}", *lines, "over_to_you", ""])
 
 
 def run(source: str) -> subprocess.CompletedProcess:
-    sim = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
-    sim = sim.replace(".venv/bin/python", sys.executable)
+    command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
+    command = command.replace(".venv/bin/python", sys.executable)
     return subprocess.run(
-        ["/bin/sh", "-c", sim], input=source, capture_output=True, text=True, cwd=ROOT, timeout=60
+        ["/bin/sh", "-c", command],
+        input=source,
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        timeout=60,
     )
 
 
 def replies(source: str) -> list[list[str]]:
-    done = run(source)
-    assert (done.returncode, done.stderr) == (0, "")
-    out, current = [], []
-    for line in done.stdout.splitlines():
-        current.append(line)
+    process = run(source)
+    assert (process.returncode, process.stderr) == (0, "")
+    batches, lines = [], []
+    for line in process.stdout.splitlines():
+        lines.append(line)
         if line.startswith("ack"):
-            out.append(current)
-            current = []
-    assert not current
-    return out
+            batches.append(lines)
+            lines = []
+    assert not lines
+    return batches
 
 
 def test_host_answers_empty_batches_and_ends_cleanly():
@@ -72,7 +77,7 @@
 
 
 def test_host_sends_a_request_and_closes_it_when_it_succeeds():
-    out = replies(
+    batches = replies(
         batch(1, BOOT.format(0), *LIST, UPDATE.format(0), REQUEST.format(0, "a" * 36))
         + batch(
             2,
@@ -81,13 +86,13 @@
             "load=load_share:0.62,concurrent:7,x9:1.25",
         )
     )
-    assert f"try\ti=gateway/0\tmsg_id={'a' * 36}\tnode=1.1.1.1:1" in out[0]
-    assert out[1] == ["ack\tturn=2"]
+    assert f"try\ti=gateway/0\tmsg_id={'a' * 36}\tnode=1.1.1.1:1" in batches[0]
+    assert batches[1] == ["ack\tturn=2"]
 
 
 def test_host_resolves_list_numbers_in_the_order_of_events():
     second = [LIST[0], LIST[1].replace("1.1.1.1", "2.2.2.2")]
-    out = replies(
+    batches = replies(
         batch(
             1,
             BOOT.format(0),
@@ -100,12 +105,12 @@
             REQUEST.format(1, "b"),
         )
     )
-    sends = [line for line in out[0] if line.startswith("try")]
-    assert "node=1.1.1.1:1" in sends[0] and "node=2.2.2.2:1" in sends[1]
+    attempts = [line for line in batches[0] if line.startswith("try")]
+    assert "node=1.1.1.1:1" in attempts[0] and "node=2.2.2.2:1" in attempts[1]
 
 
-def test_host_keeps_nothing_of_an_instance_that_ends_and_starts_in_one_batch():
-    out = replies(
+def test_host_drops_the_actions_of_an_instance_that_restarts_within_a_batch():
+    batches = replies(
         batch(
             1,
             BOOT.format(0),
@@ -117,24 +122,24 @@
             UPDATE.format(0),
         )
     )
-    assert not [line for line in out[0] if line.startswith("try")]
-    assert not [line for line in out[0] if line.startswith("wake_me")]
+    assert not [line for line in batches[0] if line.startswith("try")]
+    assert not [line for line in batches[0] if line.startswith("wake_me")]
 
 
 @pytest.mark.parametrize("payload", ["-", "00ff"])
-def test_host_accepts_a_message_of_another_broker_and_does_nothing(payload):
-    out = replies(batch(1, BOOT.format(0)) + batch(2, PEER_MESSAGE.format(payload)))
-    assert out[1] == ["ack\tturn=2"]
+def test_host_accepts_and_ignores_a_message_of_another_broker(payload):
+    batches = replies(batch(1, BOOT.format(0)) + batch(2, PEER_MESSAGE.format(payload)))
+    assert batches[1] == ["ack\tturn=2"]
 
 
 def test_host_answers_a_batch_of_megabytes():
-    many = [REQUEST.format(0, f"id{number}" + "x" * 300) for number in range(5000)]
-    out = replies(batch(1, BOOT.format(0), *LIST, UPDATE.format(0)) + batch(2, *many))
-    assert out[1][-1] == "ack\tturn=2"
+    requests = [REQUEST.format(0, f"id{number}" + "x" * 300) for number in range(5000)]
+    batches = replies(batch(1, BOOT.format(0), *LIST, UPDATE.format(0)) + batch(2, *requests))
+    assert batches[1][-1] == "ack\tturn=2"
 
 
 @pytest.mark.parametrize(
-    ("source", "words"),
+    ("source", "message"),
     [
         (batch(1, "request i=gateway/0"), "known message"),
         (batch(1, BOOT.format(0), "request\tgateway"), "name=value"),
@@ -152,8 +157,8 @@
         (batch(1, BOOT.format(0).replace('"aim_ms": 1000', '"aim_ms": "x"')), "aim_ms"),
     ],
 )
-def test_host_ends_with_one_line_and_an_exit_code_when_input_is_malformed(source, words):
-    done = run(source)
-    assert done.returncode not in (0, 1)
-    assert len(done.stderr.splitlines()) == 1 and words in done.stderr
-    assert "Traceback" not in done.stderr
+def test_host_reports_malformed_input_in_one_line_and_by_its_exit_code(source, message):
+    process = run(source)
+    assert process.returncode not in (0, 1)
+    assert len(process.stderr.splitlines()) == 1 and message in process.stderr
+    assert "Traceback" not in process.stderr
--- a/tests/teams/helpers.py
+++ b/tests/teams/helpers.py
@@ -1,4 +1,4 @@
-"""Teams, contracts and a broker's admission for tests."""
+"""Builders of teams, contracts and a broker's admission for tests."""
 
 from __future__ import annotations
 
@@ -30,22 +30,24 @@
 
 
 def make_team(
-    name: str, rate: float = 10.0, burst: float = 10.0, work_ms: float = 100.0, **more
+    name: str, rate: float = 10.0, burst: float = 10.0, work_ms: float = 100.0, **overrides
 ) -> Team:
-    made = {"share": 0.3, "retry_share": 0.3, "overflow": "refuse"} | more
+    fields = {"share": 0.3, "retry_share": 0.3, "overflow": "refuse"} | overrides
     return Team(
         name,
         Map({"lookup": Terms(rate, burst, work_ms), "report": Terms(1.0, 2.0, 2_000.0)}),
-        **made,
+        **fields,
     )
 
 
-def make_contract(*teams: Team, threads: float = 20.0, slots: float = 40.0, **more) -> Contract:
-    return Contract(Map({each.name: each for each in teams}), threads * 1000.0, slots, 1e6, **more)
+def make_contract(*teams: Team, threads: float = 20.0, slots: float = 40.0, **fields) -> Contract:
+    return Contract(
+        Map({team.name: team for team in teams}), threads * 1000.0, slots, 1e6, **fields
+    )
 
 
-def make_admission(*teams: Team, brokers: int = 1, **more) -> TeamAdmission:
-    return TeamAdmission(make_contract(*teams, **more), brokers, 0.0, RETRY_TERMS)
+def make_admission(*teams: Team, brokers: int = 1, **contract_fields) -> TeamAdmission:
+    return TeamAdmission(make_contract(*teams, **contract_fields), brokers, 0.0, RETRY_TERMS)
 
 
 def load_script(tmp_path: Path, text: str) -> Contract:
--- a/tests/teams/test_admission.py
+++ b/tests/teams/test_admission.py
@@ -1,4 +1,8 @@
-"""Admission by a contract, settlement, and what holds whatever comes."""
+"""Tests of admission under a contract, of settlement, and of the invariants of both.
+
+They guard against a team that uses more than its contract promises at the cost of others, and
+against work that is charged twice or lost, also across a change of contract or a hot restart.
+"""
 
 from __future__ import annotations
 
@@ -14,94 +18,97 @@
 from umberusher.teams.handover import TeamHandover
 
 
-def test_a_surge_is_refused_beyond_its_budget_and_others_do_not_notice():
-    admission, got, now = (
+def test_admission_rejects_a_surge_beyond_its_budget_without_affecting_other_teams():
+    admission, admitted, now = (
         make_admission(make_team("surge"), make_team("quiet")),
         {"surge": 0, "quiet": 0},
         0.0,
     )
-    for step in range(2_000):  # 10 s; surge asks 100 a second of its 10, quiet 9 of its 10
+    for step in range(2_000):  # 10 s; surge sends 100/s with a rate of 10, quiet 9/s with 10
         now = step * 5.0
-        for name, every in (("surge", 2), ("quiet", 22)):
-            if step % every == 0:
-                found = admission.admit(now, name, "lookup", estimate=100.0)
-                if isinstance(found, Charge):
-                    got[name] += 1
-                    admission.settle(now + 1.0, found, 100.0, served=True)
+        for name, interval_steps in (("surge", 2), ("quiet", 22)):
+            if step % interval_steps == 0:
+                outcome = admission.admit(now, name, "lookup", estimate=100.0)
+                if isinstance(outcome, Charge):
+                    admitted[name] += 1
+                    admission.settle(now + 1.0, outcome, 100.0, served=True)
                 else:
-                    assert found.reason is RejectionReason.RATE
-    assert got["quiet"] == 91 and got["surge"] <= 10 + 10 * 10
+                    assert outcome.reason is RejectionReason.RATE
+    assert admitted["quiet"] == 91 and admitted["surge"] <= 10 + 10 * 10
 
 
-def test_the_dearest_requests_within_the_rate_are_bounded_bywork_limit():
+def test_work_limit_bounds_expensive_requests_within_the_rate():
     team = Team(
         "t", Map({"lookup": Terms(10.0, 20.0, 100.0), "report": Terms(10.0, 20.0, 100.0)}), 1.0, 1.0
     )
-    admission, work, now = make_admission(team), 0.0, 0.0
+    admission, admitted_work_ms, now = make_admission(team), 0.0, 0.0
     for step in range(200):
         now = step * 50.0
-        found = admission.admit(now, "t", "report", estimate=3_000.0)
-        if isinstance(found, Charge):
-            work += 3_000.0
-            admission.settle(now, found, 3_000.0)
+        outcome = admission.admit(now, "t", "report", estimate=3_000.0)
+        if isinstance(outcome, Charge):
+            admitted_work_ms += 3_000.0
+            admission.settle(now, outcome, 3_000.0)
         else:
-            assert found.reason is RejectionReason.WORK
+            assert outcome.reason is RejectionReason.WORK
     assert (
-        10_000.0 <= work <= team.work_burst + 3_000.0 + 2_000.0 * 10
-    )  # 2 threads of work promised
+        10_000.0 <= admitted_work_ms <= team.work_burst + 3_000.0 + 2_000.0 * 10
+    )  # 2 threads of work are promised
 
 
-def test_idle_work_is_lent_and_comes_back_within_a_second():
+def test_idle_work_is_lent_and_returned_to_its_owner_within_a_second():
     lender, borrower = (
         make_team("lender", 50.0, 10.0, share=0.5),
         make_team("borrower", 10.0, 10.0, overflow="lend"),
     )
     admission = make_admission(lender, borrower, threads=10.0, slots=1_000.0)
-    taken = {}
+    admitted = {}
     for step in range(6_000):
         now = step * 5.0
         second = int(now // 1000)
-        found = admission.admit(now, "borrower", "lookup", estimate=100.0)
-        if isinstance(found, Charge):
-            taken[second, "borrower"] = taken.get((second, "borrower"), 0) + 1
-            admission.settle(now, found, 100.0)
+        outcome = admission.admit(now, "borrower", "lookup", estimate=100.0)
+        if isinstance(outcome, Charge):
+            admitted[second, "borrower"] = admitted.get((second, "borrower"), 0) + 1
+            admission.settle(now, outcome, 100.0)
         if 10 <= second < 20 and step % 4 == 0:
-            found = admission.admit(now, "lender", "lookup", estimate=100.0)
-            taken[second, "lender"] = taken.get((second, "lender"), 0) + isinstance(found, Charge)
-            if isinstance(found, Charge):
-                admission.settle(now, found, 100.0)
-    assert 90 <= taken[5, "borrower"] <= 105  # all of the 10 threads
-    assert all(taken[second, "lender"] >= 48 for second in range(10, 20))  # its own at once
-    # It uses 5 of the 10 threads; from the second second on the borrower has what is left.
-    assert all(taken[second, "borrower"] <= 52 for second in range(11, 20))
-    assert taken[25, "borrower"] >= 90
+            outcome = admission.admit(now, "lender", "lookup", estimate=100.0)
+            admitted[second, "lender"] = admitted.get((second, "lender"), 0) + isinstance(
+                outcome, Charge
+            )
+            if isinstance(outcome, Charge):
+                admission.settle(now, outcome, 100.0)
+    assert 90 <= admitted[5, "borrower"] <= 105  # all of the 10 threads
+    # The lender gets its own work back immediately.
+    assert all(admitted[second, "lender"] >= 48 for second in range(10, 20))
+    # It uses 5 of the 10 threads; after its first second the borrower gets the remaining ones.
+    assert all(admitted[second, "borrower"] <= 52 for second in range(11, 20))
+    assert admitted[25, "borrower"] >= 90
 
 
-def test_a_debt_is_bounded_and_counted_and_a_low_estimate_is_corrected():
+def test_debt_is_bounded_and_counted_and_a_low_estimate_is_corrected():
     admission = make_admission(
         make_team("low", 100.0, 100.0), make_team("fair", 100.0, 100.0), threads=200.0, slots=500.0
     )
     for step in range(400):
         now = step * 20.0
         for name, estimate in (("low", 10.0), ("fair", 100.0)):
-            found = admission.admit(now, name, "lookup", estimate=estimate)
-            if isinstance(found, Charge):
-                admission.settle(now, found, 100.0)
+            outcome = admission.admit(now, name, "lookup", estimate=estimate)
+            if isinstance(outcome, Charge):
+                admission.settle(now, outcome, 100.0)
         rate = admission.contract.teams["low"].work_rate
         assert admission.debt_ms(now, "low") <= rate * MAX_DEBT_S + 1e-6
     assert admission.costs.factor("low", "lookup") == pytest.approx(10.0, rel=0.2)
     assert admission.usage_of("low").work_ms == pytest.approx(
         admission.usage_of("fair").work_ms, rel=0.25
     )
-    found = admission.admit(now, "low", "lookup", estimate=10.0)
-    admission.settle(now, found, 1e9)
+    outcome = admission.admit(now, "low", "lookup", estimate=10.0)
+    admission.settle(now, outcome, 1e9)
     assert (
         admission.debt_ms(now, "low") == pytest.approx(rate * MAX_DEBT_S)
         and admission.usage_of("low").forgiven_ms > 0
     )
 
 
-def test_a_share_of_threads_or_memory_bounds_what_is_open():
+def test_share_of_threads_or_memory_bounds_the_open_requests():
     admission = make_admission(
         make_team("t", 1_000.0, 1_000.0, 1.0, share=0.25),
         make_team("u", 1_000.0, 1_000.0, 1.0, share=0.75),
@@ -109,55 +116,61 @@
         slots=40.0,
     )
     others = [admission.admit(0.0, "u", "lookup", estimate=1.0) for _ in range(30)]
-    kept = [admission.admit(0.0, "t", "lookup", estimate=1.0) for _ in range(12)]
-    assert [isinstance(each, Charge) for each in kept] == [True] * 10 + [False] * 2
-    assert kept[-1].reason is RejectionReason.SHARE
-    admission.settle(10.0, kept[0], 1.0)
-    found = admission.admit(10.0, "t", "lookup", estimate=1.0, memory_mb=1_100_000.0)
-    assert found.reason is RejectionReason.SHARE
+    outcomes = [admission.admit(0.0, "t", "lookup", estimate=1.0) for _ in range(12)]
+    assert [isinstance(outcome, Charge) for outcome in outcomes] == [True] * 10 + [False] * 2
+    assert outcomes[-1].reason is RejectionReason.SHARE
+    admission.settle(10.0, outcomes[0], 1.0)
+    outcome = admission.admit(10.0, "t", "lookup", estimate=1.0, memory_mb=1_100_000.0)
+    assert outcome.reason is RejectionReason.SHARE
     assert isinstance(admission.admit(10.0, "t", "lookup", estimate=1.0), Charge)
-    for each in others[:20]:  # the whole is not full any more
-        admission.settle(20.0, each, 1.0)
+    for outcome in others[:20]:  # frees capacity, so that shares are no longer enforced
+        admission.settle(20.0, outcome, 1.0)
     assert all(
         isinstance(admission.admit(20.0, "t", "lookup", estimate=1.0), Charge) for _ in range(20)
     )
 
 
-def test_those_refused_are_told_moments_apart_and_are_taken_when_they_come_back():
-    admission, back = make_admission(make_team("t", 20.0, 5.0, 1.0)), []
+def test_rejected_requests_get_staggered_retry_times_and_are_admitted_then():
+    admission, retry_times_ms = make_admission(make_team("t", 20.0, 5.0, 1.0)), []
     for number in range(30):
-        found = admission.admit(float(number), "t", "lookup", estimate=1.0)
-        if isinstance(found, Rejection):
-            back.append(number + found.retry_after_ms)
+        outcome = admission.admit(float(number), "t", "lookup", estimate=1.0)
+        if isinstance(outcome, Rejection):
+            retry_times_ms.append(number + outcome.retry_after_ms)
         else:
-            admission.settle(float(number), found, 1.0)
-    taken = 0
-    for at in sorted(back):
-        found = admission.admit(at, "t", "lookup", estimate=1.0)
-        if isinstance(found, Charge):
-            taken += 1
-            admission.settle(at, found, 1.0)
-    assert len(back) == 25 and taken == 25 and max(back) <= 25 / 20 * 1_000 + 100
+            admission.settle(float(number), outcome, 1.0)
+    admitted = 0
+    for retry_at_ms in sorted(retry_times_ms):
+        outcome = admission.admit(retry_at_ms, "t", "lookup", estimate=1.0)
+        if isinstance(outcome, Charge):
+            admitted += 1
+            admission.settle(retry_at_ms, outcome, 1.0)
+    assert (
+        len(retry_times_ms) == 25
+        and admitted == 25
+        and max(retry_times_ms) <= 25 / 20 * 1_000 + 100
+    )
 
 
-def test_a_clock_that_steps_back_gives_and_takes_nothing():
+def test_backward_clock_step_leaves_budgets_unchanged():
     admission = make_admission(make_team("t"))
     for _ in range(12):
         admission.admit(50_000.0, "t", "lookup")
-    before = admission.states["t"].work_budget.full_ms
+    full_ms_before = admission.states["t"].work_budget.full_ms
     assert isinstance(admission.admit(1_000.0, "t", "lookup"), Rejection)
-    assert admission.states["t"].work_budget.full_ms == before and admission.at_ms == 50_000.0
+    assert (
+        admission.states["t"].work_budget.full_ms == full_ms_before and admission.at_ms == 50_000.0
+    )
 
 
-def test_ten_thousand_teams_of_which_fifty_are_active_cost_the_state_of_fifty():
+def test_state_is_kept_only_for_the_fifty_active_of_ten_thousand_teams():
     teams = [
         make_team(f"t{n}", 0.1, 1.0, 10.0, share=1e-4, retry_share=1e-4) for n in range(10_000)
     ]
     admission = make_admission(*teams, threads=30.0)
     for step in range(2_000):
-        found = admission.admit(step * 50.0, f"t{step % 50}", "lookup", estimate=10.0)
-        if isinstance(found, Charge):
-            admission.settle(step * 50.0, found, 10.0)
+        outcome = admission.admit(step * 50.0, f"t{step % 50}", "lookup", estimate=10.0)
+        if isinstance(outcome, Charge):
+            admission.settle(step * 50.0, outcome, 10.0)
     assert (
         len(admission.states) <= 50
         and len(admission.usage) == 50
@@ -243,13 +256,16 @@
         assert 0 <= admission.pool.level <= admission.contract.work_rate * POOL_DEPTH_S + 1e-6
 
 
-def test_a_small_model_of_two_teams_in_every_order():
-    """All orders of eight steps: no team is refused what its own budget has, and nothing is charged twice."""
+def test_admission_of_two_teams_in_every_order_of_operations():
+    """Runs all sequences of up to six operations.
+
+    No request that its team's own budget covers is rejected, and nothing is charged twice.
+    """
     steps = [("take", "a"), ("take", "b"), ("settle", ""), ("wait", "")]
-    seen = 0
+    trace_count = 0
 
     def walk(depth: int, trace: tuple) -> None:
-        nonlocal seen
+        nonlocal trace_count
         admission, now, open_ = (
             make_admission(
                 make_team("a", 1.0, 2.0, 100.0, overflow="lend"),
@@ -260,33 +276,35 @@
             0.0,
             [],
         )
-        for what, name in trace:
-            if what == "take":
+        for operation, name in trace:
+            if operation == "take":
                 state = admission.states.get(name)
-                rates = state.rate_budgets.get("lookup") if state else None
+                rate_budget = state.rate_budgets.get("lookup") if state else None
                 team = admission.contract.teams[name]
-                has = (
-                    not rates or rates.can_afford(now, 1.0, 0.001, 2.0) or team.overflow == "lend"
+                covered = (
+                    not rate_budget
+                    or rate_budget.can_afford(now, 1.0, 0.001, 2.0)
+                    or team.overflow == "lend"
                 ) and (
                     not state
                     or state.work_budget.can_afford(now, 100.0, *admission.work_limit(team))
                 )
-                found = admission.admit(now, name, "lookup", estimate=100.0)
-                assert isinstance(found, Charge) or not has
-                assert not isinstance(found, Charge) or found.lent is not has
-                if isinstance(found, Charge):
-                    open_.append(found)
-            elif what == "settle" and open_:
+                outcome = admission.admit(now, name, "lookup", estimate=100.0)
+                assert isinstance(outcome, Charge) or not covered
+                assert not isinstance(outcome, Charge) or outcome.lent is not covered
+                if isinstance(outcome, Charge):
+                    open_.append(outcome)
+            elif operation == "settle" and open_:
                 admission.settle(now, open_.pop(0), 100.0)
-            elif what == "wait":
+            elif operation == "wait":
                 now += 400.0
             assert admission.pool.inflow == pytest.approx(
                 admission.pool.level + admission.pool.lent + admission.pool.overflow
             )
-        seen += 1
+        trace_count += 1
         if depth:
             for step in steps:
                 walk(depth - 1, (*trace, step))
 
     walk(6, ())
-    assert seen == (4**7 - 1) // 3
+    assert trace_count == (4**7 - 1) // 3
--- a/tests/teams/test_contract_parser.py
+++ b/tests/teams/test_contract_parser.py
@@ -1,4 +1,4 @@
-"""Contracts from scripts, and what is wrong with them."""
+"""Tests that contracts are parsed from scripts, and that each fault is reported with its line."""
 
 from __future__ import annotations
 
@@ -10,20 +10,23 @@
 from umberusher.teams.contract import ContractError
 
 
-def test_a_contract_is_read_and_a_holiday_has_figures_of_its_own(tmp_path):
-    found = load_script(tmp_path, CONTRACT_SCRIPT)
-    assert found.teams["parks"].terms["lookup"].rate == 60 and found.teams_by_port[5051] == "water"
-    easter = found.on(date(2026, 4, 6)).teams["parks"]
+def test_contract_is_parsed_and_a_holiday_has_its_own_terms(tmp_path):
+    contract = load_script(tmp_path, CONTRACT_SCRIPT)
+    assert (
+        contract.teams["parks"].terms["lookup"].rate == 60
+        and contract.teams_by_port[5051] == "water"
+    )
+    easter = contract.on(date(2026, 4, 6)).teams["parks"]
     assert (
         easter.terms["lookup"].rate == 90
         and easter.share == 0.6
         and easter.terms["report"].rate == 2
     )
-    assert found.on(date(2026, 4, 7)).teams["parks"] == found.teams["parks"]
+    assert contract.on(date(2026, 4, 7)).teams["parks"] == contract.teams["parks"]
 
 
 @pytest.mark.parametrize(
-    "old, new, told",
+    "old, new, fault",
     [
         ("rate = 60, burst = 120", "rate = 60, burst = 0", ":5: parks: burst"),
         ('"report"', '"raport"', ":6: parks: no class 'raport'"),
@@ -67,16 +70,16 @@
         ('terms("report", rate', 'terms("lookup", rate', ":5: parks: class lookup is listed twice"),
     ],
 )
-def test_what_is_wrong_with_a_contract_is_told_by_file_and_line(tmp_path, old, new, told):
+def test_faults_of_a_contract_name_file_and_line(tmp_path, old, new, fault):
     assert old in CONTRACT_SCRIPT
     with pytest.raises(ContractError) as raised:
         load_script(tmp_path, CONTRACT_SCRIPT.replace(old, new, 1))
     assert any(
-        "teams.star" in line and told in line for line in str(raised.value).splitlines()
+        "teams.star" in line and fault in line for line in str(raised.value).splitlines()
     ), str(raised.value)
 
 
-def test_all_errors_come_at_once(tmp_path):
+def test_all_faults_are_reported_at_once(tmp_path):
     with pytest.raises(ContractError) as raised:
         load_script(
             tmp_path,
--- a/tests/teams/test_identity.py
+++ b/tests/teams/test_identity.py
@@ -1,4 +1,4 @@
-"""The team of a call."""
+"""Tests of the identification of a call's team."""
 
 from __future__ import annotations
 
@@ -14,8 +14,10 @@
 )
 
 
-def identified(contract: Contract, claim: str | None, origin: Origin) -> str | UnidentifiedReason:
-    """Return the team, or why there is none."""
+def identification(
+    contract: Contract, claim: str | None, origin: Origin
+) -> str | UnidentifiedReason:
+    """Return the name of the team, or the reason why none was identified."""
     try:
         return identify_team(contract, claim, origin)
     except UnidentifiedTeamError as error:
@@ -23,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    "claim, origin, found",
+    "claim, origin, expected",
     [
         ("parks", Origin(), "parks"),
         (None, Origin(), "parks"),
@@ -36,10 +38,10 @@
         ("parks", Origin(1, "water.example"), UnidentifiedReason.ANOTHER),
     ],
 )
-def test_identify_team_believes_proofs_before_claims(tmp_path, claim, origin, found):
+def test_identify_team_prefers_proofs_to_claims(tmp_path, claim, origin, expected):
     contract = load_script(tmp_path, CONTRACT_SCRIPT)
-    assert identified(contract, claim, origin) == found
-    if found == "parks" and claim != "parks":
-        refusing = load_script(tmp_path, CONTRACT_SCRIPT.replace('strangers = "parks"', ""))
+    assert identification(contract, claim, origin) == expected
+    if expected == "parks" and claim != "parks":
+        without_default = load_script(tmp_path, CONTRACT_SCRIPT.replace('strangers = "parks"', ""))
         reason = UnidentifiedReason.UNKNOWN if claim else UnidentifiedReason.NOBODY
-        assert identified(refusing, claim, origin) is reason
+        assert identification(without_default, claim, origin) is reason
--- a/tests/teams/test_lending_pool.py
+++ b/tests/teams/test_lending_pool.py
@@ -1,4 +1,4 @@
-"""The lending pool."""
+"""Tests of the lending pool: it lends only inflow, and its level stays within its depth."""
 
 from __future__ import annotations
 
--- a/tests/teams/test_rate_budget.py
+++ b/tests/teams/test_rate_budget.py
@@ -1,4 +1,4 @@
-"""A rate budget beside a plain token bucket."""
+"""Tests of a rate budget against a token bucket as the reference implementation."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Bucket:
-    """The plain way: a level that is filled each time it is looked at."""
+    """A token bucket: a level that is refilled each time it is read."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst, self.level, self.at = rate, burst, burst, 0.0
--- a/tests/teams/test_retry_budget.py
+++ b/tests/teams/test_retry_budget.py
@@ -1,4 +1,8 @@
-"""Teams' shares of the retry budget."""
+"""Tests of the teams' shares of the retry budget.
+
+They guard against more retries in a window than the broker's budget allows, and against a team
+whose retries use the share of another one.
+"""
 
 from __future__ import annotations
 
@@ -27,26 +31,26 @@
     assert all(len(counts.slices) <= WINDOW_SLICES + 1 for counts, _ in budgets.active.values())
 
 
-def test_a_team_whose_retries_eat_the_ration_takes_no_part_of_another():
-    parts = {"noisy": 0.4, "quiet": 0.4}
+def test_team_that_exhausts_its_share_of_retries_uses_no_share_of_another():
+    shares = {"noisy": 0.4, "quiet": 0.4}
     alone, shared = TeamRetryBudgets(RETRY_TERMS), TeamRetryBudgets(RETRY_TERMS)
     granted = {"alone": 0, "shared": 0, "noisy": 0}
     for step in range(3_000):
         now = step * 10.0
-        shared.count_request("noisy", parts["noisy"], now)
-        if shared.available_right("noisy", parts["noisy"], now):
-            shared.spend("noisy", parts["noisy"], now)
+        shared.count_request("noisy", shares["noisy"], now)
+        if shared.available_right("noisy", shares["noisy"], now):
+            shared.spend("noisy", shares["noisy"], now)
             granted["noisy"] += 1
         if step % 10 == 0:
             for name, budgets in (("alone", alone), ("shared", shared)):
-                budgets.count_request("quiet", parts["quiet"], now)
-                if step % 100 == 0 and budgets.available_right("quiet", parts["quiet"], now):
+                budgets.count_request("quiet", shares["quiet"], now)
+                if step % 100 == 0 and budgets.available_right("quiet", shares["quiet"], now):
                     granted[name] += 1
-                    budgets.spend("quiet", parts["quiet"], now)
+                    budgets.spend("quiet", shares["quiet"], now)
     assert granted["shared"] == granted["alone"] == 30 and granted["noisy"] > 100
 
 
-def test_half_of_what_idle_teams_leave_is_lent_and_the_other_half_is_there_on_their_return():
+def test_half_of_idle_shares_is_lent_and_the_other_half_is_kept_for_their_owners():
     budgets = TeamRetryBudgets(RetryBudgetTerms(10.0, 0.0, 10_000.0))
     granted = sum(
         bool(budgets.spend("busy", 0.2, at))
@@ -54,9 +58,11 @@
         if budgets.available_right("busy", 0.2, at)
     )
     assert granted == 2 + 4  # its own, and half of the other 0.8
-    back = sum(
+    granted_on_return = sum(
         bool(budgets.spend("back", 0.8, 1_000))
         for _ in range(20)
         if budgets.available_right("back", 0.8, 1_000)
     )
-    assert back >= 4 and granted + back <= 10 + 4  # its half at the least
+    assert (
+        granted_on_return >= 4 and granted + granted_on_return <= 10 + 4
+    )  # at least the half that was not lent
--- a/tests/thrift_messages.py
+++ b/tests/thrift_messages.py
@@ -1,4 +1,4 @@
-"""Calls as a client writes them: built here, so that the codec is not tested by itself."""
+"""Encodes calls as a client does, without the broker's codec, which would otherwise test itself."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def execute(seqid: int, fields: dict[str, str], body: bytes, name: str = "execute") -> bytes:
-    """A call as a client writes it, with its frame."""
+    """Return a call as a client encodes it, with its frame."""
     pairs = b"".join(text(key) + text(value) for key, value in fields.items())
     call = (
         struct.pack(">I", 0x80010001)
