--- a/tests/nets/commands.py
+++ b/tests/nets/commands.py
@@ -1,7 +1,7 @@
-"""Command lines over the files in ``fixtures``, which commit 8ce8042 wrote, and what that commit made of them.
+"""Command lines over the files in ``fixtures``, which commit 8ce8042 wrote, and the results that it gave for them.
 
-``python -m tests.nets.commands CHECKOUT`` runs them all on a checkout and writes ``fixtures/expected.json``. Only a
-checkout of 8ce8042 is right for it: a change of what is expected is a change of behaviour.
+``python -m tests.nets.commands CHECKOUT`` runs all of them on a checkout and writes ``fixtures/expected.json``. Use it
+only with a checkout of 8ce8042: a change of the expected results is a change of behaviour.
 """
 
 from __future__ import annotations
@@ -22,31 +22,33 @@
 FIXTURES = HERE / "fixtures"
 EXPECTED = FIXTURES / "expected.json"
 TIMEOUT_S = 120.0
-LOG_LINE = re.compile(r"^\d{4}-\d\d-\d\dT\S+ \[.*\n", re.MULTILINE)  # of the log, for people
-TOOK = re.compile(r"(clock in )[0-9.]+( s )")  # the machine's time for a replay
-MACHINE_FIELDS = frozenset(["took_s"])  # of a result: the machine's time
+LOG_LINE = re.compile(r"^\d{4}-\d\d-\d\dT\S+ \[.*\n", re.MULTILINE)  # a log line in text format
+REPLAY_TIME = re.compile(
+    r"(clock in )[0-9.]+( s )"
+)  # the real time of a replay, which depends on the machine
+MACHINE_FIELDS = frozenset(["took_s"])  # fields of a result that depend on the machine
 LAST_COLUMN = re.compile(
     r"^(\|.*\| )[^|]*\|$", re.MULTILINE
-)  # what carries a line names modules of the program
+)  # the last column names modules of the program
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """One command line, in a folder with all fixtures."""
+    """One command line; it runs in a folder with all fixtures."""
 
     name: str
     line: str
-    writes: tuple[str, ...] = ()  # files whose text is compared too
-    configuration: str = "configuration.json"  # what LB_CONFIG names
+    writes: tuple[str, ...] = ()  # files whose content is compared too
+    configuration: str = "configuration.json"  # the value of LB_CONFIG
 
     def document(self) -> dict[str, Any]:
-        """What the batch is told."""
+        """Return the command as an item of the input of ``batch.py``."""
         return {"arguments": self.line.split(), "environment": {"LB_CONFIG": self.configuration}}
 
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A fixture with one thing wrong in it, as a further file."""
+    """An additional fixture: a copy of another one with a single fault."""
 
     name: str
     source: str
@@ -57,7 +59,7 @@
 REPLAY = "trace replay small.plan --nodes 3 --brokers 2 --seed 4"
 CAPACITY = "capacity show --plan size.star --measurements"
 
-GOOD = (
+VALID_COMMANDS = (
     Command("configuration", "check-config"),
     Command("plan statistics", "trace stats small.plan --json out/stats.json", ("out/stats.json",)),
     Command(
@@ -146,7 +148,7 @@
     ),
 )
 
-BAD = (
+INVALID_COMMANDS = (
     Command("no configuration", "check-config", configuration="missing.json"),
     Command("configuration: class", "check-config", configuration="bad-class.json"),
     Command("configuration: address", "check-config", configuration="bad-listen.json"),
@@ -182,7 +184,7 @@
 
 
 def prepare(folder: Path) -> None:
-    """Lay out the fixtures, and those with one thing wrong."""
+    """Write the fixtures into a folder, and their copies with a fault."""
     shutil.copytree(FIXTURES, folder, dirs_exist_ok=True)
     shutil.copy(HERE / "small_fleet.star", folder)
     for edit in EDITS:
@@ -194,11 +196,13 @@
 
 
 def environment(checkout: Path) -> dict[str, str]:
-    """Let a checkout's program be found, and nothing colour what it prints."""
-    kept = {name: value for name, value in os.environ.items() if not name.startswith(("LB_", "PY"))}
+    """Return an environment in which a checkout's program is found and prints no colours."""
+    variables = {
+        name: value for name, value in os.environ.items() if not name.startswith(("LB_", "PY"))
+    }
     for name in ("FORCE_COLOR", "NO_COLOR", "COLUMNS"):
-        kept.pop(name, None)
-    return kept | {
+        variables.pop(name, None)
+    return variables | {
         "PYTHONPATH": str(checkout),
         "TERM": "dumb",
         "LANG": "C.UTF-8",
@@ -207,12 +211,12 @@
 
 
 def run(checkout: Path, folder: Path) -> dict[str, dict[str, Any]]:
-    """Run all commands in that folder; what each gave, by its name."""
+    """Run all commands in a folder; return their results by name."""
     prepare(folder)
-    commands = [*GOOD, *BAD]
-    result = folder / "batch.json"
+    commands = [*VALID_COMMANDS, *INVALID_COMMANDS]
+    results_file = folder / "batch.json"
     subprocess.run(
-        [sys.executable, str(HERE / "batch.py"), str(result)],
+        [sys.executable, str(HERE / "batch.py"), str(results_file)],
         input=json.dumps([each.document() for each in commands]),
         text=True,
         cwd=folder,
@@ -220,30 +224,30 @@
         timeout=TIMEOUT_S,
         check=True,
     )
-    gave = json.loads(result.read_text())
+    results = json.loads(results_file.read_text())
     return {
-        command.name: _seen(command, each, folder)
-        for command, each in zip(commands, gave, strict=True)
+        command.name: _comparable_result(command, each, folder)
+        for command, each in zip(commands, results, strict=True)
     }
 
 
-def _seen(command: Command, gave: dict[str, Any], folder: Path) -> dict[str, Any]:
-    """What is compared, as lines: files stand beside the output, without what is the machine's."""
-    output = TOOK.sub(r"\1-\2", gave["stdout"])
+def _comparable_result(command: Command, result: dict[str, Any], folder: Path) -> dict[str, Any]:
+    """Return the parts of a result that are compared: output as lines, and files, without machine-dependent values."""
+    output = REPLAY_TIME.sub(r"\1-\2", result["stdout"])
     if command.line.startswith("capacity"):
         output = LAST_COLUMN.sub(r"\1...|", output)
-    seen = {
-        "exit": gave["exit"],
+    comparable = {
+        "exit": result["exit"],
         "stdout": output.splitlines(),
-        "stderr": LOG_LINE.sub("", gave["stderr"]).splitlines(),
+        "stderr": LOG_LINE.sub("", result["stderr"]).splitlines(),
     }
     for name in command.writes:
-        seen[name] = _file(folder / name)
-    return seen
+        comparable[name] = _read_result_file(folder / name)
+    return comparable
 
 
-def _file(path: Path) -> Any:
-    """A written file: JSON as a value, events as a list of them, a plan as its bytes in hexadecimal."""
+def _read_result_file(path: Path) -> Any:
+    """Return the content of a file: JSON as a value, events as a list, a plan as hexadecimal digits."""
     if not path.exists():
         return None
     if path.suffix == ".plan":
@@ -259,6 +263,6 @@
 
 
 if __name__ == "__main__":
-    with tempfile.TemporaryDirectory() as made:
-        found = run(Path(sys.argv[1]).resolve(), Path(made))
-    EXPECTED.write_text(json.dumps(found, indent=1, sort_keys=True, ensure_ascii=False) + "\n")
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        results = run(Path(sys.argv[1]).resolve(), Path(temporary_folder))
+    EXPECTED.write_text(json.dumps(results, indent=1, sort_keys=True, ensure_ascii=False) + "\n")
--- a/tests/nets/small_fleet.star
+++ b/tests/nets/small_fleet.star
@@ -1,4 +1,4 @@
-# A tiny fleet for tests/nets/test_scale_run.py: some seconds of each kind of scene that the fleet's plan plays.
+# A tiny fleet for tests/nets/test_scale_run.py: some seconds of each kind of scene in the plan of the full fleet.
 run = size(brokers = 6, engines = 60, regions = 2, zones = 4, control_machines = 4, workers = 2, seed = 3,
            memory_most = gb(2), wall_most = minutes(2), spread_most = ms(500))
 
--- a/tests/nets/test_commands.py
+++ b/tests/nets/test_commands.py
@@ -1,4 +1,8 @@
-"""What commit 8ce8042 wrote is read as it was, and a wrong field gives the same exit code and the same line."""
+"""Tests that commands give the results of commit 8ce8042, for its files and for copies of them with a fault.
+
+They guard against files of earlier versions that can no longer be read, and against changes of output, error messages
+and exit codes.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,7 @@
 
 import pytest
 
-from tests.nets.commands import BAD, EXPECTED, GOOD, ROOT, Command, run
+from tests.nets.commands import EXPECTED, INVALID_COMMANDS, ROOT, VALID_COMMANDS, Command, run
 
 EXPECTED_RESULTS = json.loads(EXPECTED.read_text())
 
@@ -17,15 +21,15 @@
     return run(ROOT, tmp_path_factory.mktemp("commands"))
 
 
-def test_each_command_has_its_expectation():
-    assert {each.name for each in (*GOOD, *BAD)} == EXPECTED_RESULTS.keys()
+def test_each_command_has_an_expected_result():
+    assert {each.name for each in (*VALID_COMMANDS, *INVALID_COMMANDS)} == EXPECTED_RESULTS.keys()
 
 
-@pytest.mark.parametrize("command", GOOD, ids=lambda command: command.name)
-def test_a_file_that_was_written_before_is_read_as_it_was(results, command: Command):
+@pytest.mark.parametrize("command", VALID_COMMANDS, ids=lambda command: command.name)
+def test_valid_command_gives_the_expected_result(results, command: Command):
     assert results[command.name] == EXPECTED_RESULTS[command.name]
 
 
-@pytest.mark.parametrize("command", BAD, ids=lambda command: command.name)
-def test_a_bad_input_has_the_exit_code_and_the_line_that_it_had(results, command: Command):
+@pytest.mark.parametrize("command", INVALID_COMMANDS, ids=lambda command: command.name)
+def test_invalid_input_gives_the_expected_exit_code_and_error(results, command: Command):
     assert results[command.name] == EXPECTED_RESULTS[command.name]
--- a/tests/nets/test_hot_restart.py
+++ b/tests/nets/test_hot_restart.py
@@ -1,6 +1,7 @@
-"""The messages of an upgrade as commit 8ce8042 wrote them, byte for byte, against a real process in both roles.
+"""Tests that a real process sends and reads the hot-restart messages of commit 8ce8042, byte for byte, in both roles.
 
-Not compared: the memory that a process tells it holds, and times (``M`` and ``T`` stand for them).
+They guard against a broker that can't take over from an earlier version, or hand over to it. Not compared are the
+memory that a process reports and times (``M`` and ``T`` stand for them).
 """
 
 from __future__ import annotations
@@ -14,107 +15,113 @@
 
 from tests.nets.restart_player import (
     ROWS,
-    Board,
+    DiscoveryServer,
     Process,
+    RestartTestbed,
     Stream,
-    Upgrade,
-    call,
-    entry,
-    greet,
-    greeted,
+    connect_as_successor,
+    discovery_entry,
+    execute_call,
+    greet_successor,
     inode,
-    interrupt,
-    listener,
-    predecessor,
-    reserved,
-    until,
-    upgrade,
+    interrupt_call,
+    listen_as_predecessor,
+    open_listener,
+    reserve_port,
+    restart_testbed,
+    wait_until,
 )
 
-TIME = re.compile(rb"1[0-9]{12}\.[0-9]+")  # of this run, in ms since 1970
-LINE = (
+TIME = re.compile(rb"1[0-9]{12}\.[0-9]+")  # a time of this run, in ms since 1970
+ENGINE_ENTRY = (
     b'{"instanceId":"%s","lifecycle":"%s","zone":"room-a","machineType":"std-8","cell":1,"weight":8.0,'
     b'"hostPort":"127.0.0.1:%d"}'
 )
-LISTED = b'{"rev":%d,"notices":[{"rev":%d,"pool":{"reset":true,"instances":[%s]}}]}'
-HELLO_REST = (
+ENDPOINT_LIST = b'{"rev":%d,"notices":[{"rev":%d,"pool":{"reset":true,"instances":[%s]}}]}'
+HELLO_END = (
     b',"seen": ["e-9"], "banned": {"e-1": T}, "fresh": {"e-2": T}, "teams": {}, "reads": 2}}\n'
 )
 READS, READY = b'{"reads": 2}\n', b'{"ready": true}\n'
 
 
 @pytest.fixture
-def made():
-    with upgrade() as found:
-        yield found
+def testbed():
+    with restart_testbed() as created:
+        yield created
 
 
-def lines(port: int, **states: str) -> bytes:
-    """Engines ``e-0`` and so on, as one process tells another of them."""
+def engine_entries(port: int, **states: str) -> bytes:
+    """Return the entries of engines (``e_0`` is ``e-0``) as one process sends them to another."""
     names = {name.replace("_", "-"): state for name, state in states.items()}
-    return b",".join(LINE % (name.encode(), state.encode(), port) for name, state in names.items())
+    return b",".join(
+        ENGINE_ENTRY % (name.encode(), state.encode(), port) for name, state in names.items()
+    )
 
 
-def listed(rev: int, port: int, **states: str) -> bytes:
-    """A whole list."""
-    return LISTED % (rev, rev, lines(port, **states))
+def endpoint_list(rev: int, port: int, **states: str) -> bytes:
+    """Return a complete endpoint list."""
+    return ENDPOINT_LIST % (rev, rev, engine_entries(port, **states))
 
 
 SERVING = {"e_0": "SERVING", "e_1": "SERVING", "e_2": "SERVING"}
 DRAINED = SERVING | {"e_0": "DRAINING"}
 
 
-def tell_three(board: Board, port: int) -> None:
-    """Three engines, and one that has gone."""
-    board.tell(*(entry(f"e-{number}", port) for number in (0, 1, 2, 9)), reset=True)
-    board.tell(entry("e-9", port, "DELETED"))
+def publish_three_engines(discovery: DiscoveryServer, port: int) -> None:
+    """Publish three engines, and one that is removed again."""
+    discovery.publish(
+        *(discovery_entry(f"e-{number}", port) for number in (0, 1, 2, 9)), reset=True
+    )
+    discovery.publish(discovery_entry("e-9", port, "DELETED"))
 
 
-def serving(made: Upgrade, *more: str) -> Process:
-    """A process that serves three engines."""
-    tell_three(made.board, made.port)
-    return started(made, *more)
+def serve_three_engines(testbed: RestartTestbed, *arguments: str) -> Process:
+    """Start a process for which discovery lists three engines."""
+    publish_three_engines(testbed.discovery, testbed.port)
+    return start_process(testbed, *arguments)
 
 
-def started(made: Upgrade, *more: str) -> Process:
-    """A process that serves what the board has told."""
-    port = made.keep(reserved()).getsockname()[1]
-    process = made.serve(port, *more)
-    until(process.ready)
+def start_process(testbed: RestartTestbed, *arguments: str) -> Process:
+    """Start a process; return it once it is ready."""
+    port = testbed.close_at_end(reserve_port()).getsockname()[1]
+    process = testbed.serve(port, *arguments)
+    wait_until(process.ready)
     return process
 
 
-def successor(made: Upgrade, process: Process) -> tuple[Stream, list[socket.socket]]:
-    """Come as a successor and read the greeting."""
-    link, socks, _ = greeted(made, made.path(process.port))
-    link.until(b"\n")
+def connect_and_read_greeting(
+    testbed: RestartTestbed, process: Process
+) -> tuple[Stream, list[socket.socket]]:
+    """Connect as a successor and read the greeting."""
+    link, socks, _ = connect_as_successor(testbed, testbed.path(process.port))
+    link.read_until(b"\n")
     return link, socks
 
 
-# -- The process is the old one
+# -- The process is the predecessor
 
 
-def test_the_old_process_greets_with_listener_channel_and_list(made):
-    process = serving(made)
+def test_predecessor_greets_with_listener_channel_and_endpoint_list(testbed):
+    process = serve_three_engines(testbed)
     assert process.call("PUT", "/ops/engines/down/e-1")[0] == 200
     assert process.call("PUT", "/ops/engines/down/e-2")[0] == 200
     assert process.call("PUT", "/ops/engines/up/e-2")[0] == 200
-    link, socks, first = greeted(made, made.path(process.port))
-    assert first == b"L" and [sock.type for sock in socks] == [
+    link, socks, first_byte = connect_as_successor(testbed, testbed.path(process.port))
+    assert first_byte == b"L" and [sock.type for sock in socks] == [
         socket.SOCK_STREAM,
         socket.SOCK_SEQPACKET,
     ]
     assert socks[0].getsockname() == ("127.0.0.1", process.port)
     assert socks[0].getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-    hello = b'{"hello":{"known":' + listed(2, made.port, **SERVING) + HELLO_REST
-    assert TIME.sub(b"T", link.until(b"\n")) == hello
-    assert link.use(0, 0) == b'{"use": [M, 0, 0]}\n'
+    hello = b'{"hello":{"known":' + endpoint_list(2, testbed.port, **SERVING) + HELLO_END
+    assert TIME.sub(b"T", link.read_until(b"\n")) == hello
+    assert link.usage_message(0, 0) == b'{"use": [M, 0, 0]}\n'
 
 
-def test_the_old_process_greets_with_the_budgets_of_a_contract(made):
-    process = serving(made, "--contract", str(made.contract))
-    link, _, _ = greeted(made, made.path(process.port))
-    hello = json.loads(link.until(b"\n"))["hello"]
+def test_predecessor_greets_with_the_budgets_of_a_contract(testbed):
+    process = serve_three_engines(testbed, "--contract", str(testbed.contract))
+    link, _, _ = connect_as_successor(testbed, testbed.path(process.port))
+    hello = json.loads(link.read_until(b"\n"))["hello"]
     assert list(hello) == ["known", "seen", "banned", "fresh", "teams", "reads"]
     assert list(hello["teams"]) == ["teams", "pool", "costs", "ration"]
     assert hello["teams"]["ration"] == {"teams": {}, "lent": []}
@@ -122,192 +129,202 @@
     assert list(json.loads(link.message())) == ["teams"]
 
 
-def test_the_old_process_tells_a_change_and_the_whole_list_where_it_is_asked(made):
-    process = serving(made)
-    new, (_, channel) = successor(made, process)
-    older, _ = successor(made, process)  # it says nothing of what it reads
+def test_predecessor_sends_changes_and_the_complete_list_on_request(testbed):
+    process = serve_three_engines(testbed)
+    new, (_, channel) = connect_and_read_greeting(testbed, process)
+    older, _ = connect_and_read_greeting(testbed, process)  # doesn't announce its message version
     channel.settimeout(0)
     new.sock.sendall(READS)
-    new.sock.sendall(b'{"ask": 2}\n')  # answered: what was said before has been read
-    known = b'{"known":' + listed(2, made.port, **SERVING) + b"}\n"
+    new.sock.sendall(b'{"ask": 2}\n')  # its response shows that the message before has been read
+    known = b'{"known":' + endpoint_list(2, testbed.port, **SERVING) + b"}\n"
     assert new.message() == known
-    made.board.tell(entry("e-0", made.port, "DRAINING"))
-    change = lines(made.port, e_0="DRAINING")
+    testbed.discovery.publish(discovery_entry("e-0", testbed.port, "DRAINING"))
+    change = engine_entries(testbed.port, e_0="DRAINING")
     assert new.message() == (
         b'{"follows":2,"notice":{"rev":3,"pool":{"reset":false,"instances":[' + change + b"]}}}\n"
     )
-    assert older.message() == b'{"known":' + listed(3, made.port, **DRAINED) + b"}\n"
+    assert older.message() == b'{"known":' + endpoint_list(3, testbed.port, **DRAINED) + b"}\n"
     new.sock.sendall(b'{"ask": 2}\n')
-    assert new.message() == b'{"known":' + listed(3, made.port, **DRAINED) + b"}\n"
-    assert process.excluded() == "0"
+    assert new.message() == b'{"known":' + endpoint_list(3, testbed.port, **DRAINED) + b"}\n"
+    assert process.excluded_engines() == "0"
 
 
-def test_the_old_process_takes_drains_changes_and_use_and_tells_the_others(made):
-    process = serving(made)
-    new, _ = successor(made, process)
-    other, _ = successor(made, process)
+def test_predecessor_applies_drains_changes_and_usage_and_forwards_them(testbed):
+    process = serve_three_engines(testbed)
+    new, _ = connect_and_read_greeting(testbed, process)
+    other, _ = connect_and_read_greeting(testbed, process)
     other.sock.sendall(READS + b'{"ask": 2}\n')
     other.message()
     new.sock.sendall(b'{"ban": ["e-2", 123.0]}\n')
     assert other.message() == b'{"ban": ["e-2", 123.0]}\n'
-    until(lambda: process.excluded() == "1")
+    wait_until(lambda: process.excluded_engines() == "1")
     new.sock.sendall(b'{"ban": ["e-2", null]}\n')
     assert other.message() == b'{"ban": ["e-2", null]}\n'
-    assert process.excluded() == "0"
+    assert process.excluded_engines() == "0"
     assert process.call("PUT", "/ops/engines/down/e-1")[0] == 200
     for each in (new, other):
         assert re.fullmatch(rb'\{"ban": \["e-1", T\]\}\n', TIME.sub(b"T", each.message()))
-    notice = b'{"rev":3,"pool":{"reset":false,"instances":[%s]}}' % lines(made.port, e_0="DRAINING")
+    notice = b'{"rev":3,"pool":{"reset":false,"instances":[%s]}}' % engine_entries(
+        testbed.port, e_0="DRAINING"
+    )
     new.sock.sendall(b'{"follows":2,"notice":' + notice + b"}\n")
     assert other.message() == b'{"follows":2,"notice":' + notice + b"}\n"
     new.sock.sendall(b'{"follows":98,"notice":' + notice.replace(b":3,", b":99,") + b"}\n")
     assert new.message() == b'{"ask": 3}\n'
     new.sock.sendall(b'{"use": [80.0, 3, 2]}\n')
-    assert other.use(3, 2) == b'{"use": [M, 3, 2]}\n'
+    assert other.usage_message(3, 2) == b'{"use": [M, 3, 2]}\n'
 
 
 @pytest.mark.parametrize(
     "line", [b"{]\n", b"[]\n", b'{"use":[1]}\n', b'{"ban":3}\n', b'{"answer":[1]}\n']
 )
-def test_the_old_process_leaves_a_link_that_talks_nonsense_and_serves_on(made, line):
-    process = serving(made)
-    link, _ = successor(made, process)
+def test_predecessor_closes_a_link_with_malformed_messages_and_keeps_serving(testbed, line):
+    process = serve_three_engines(testbed)
+    link, _ = connect_and_read_greeting(testbed, process)
     link.sock.sendall(line)
     while link.sock.recv(1 << 16):
         pass
     assert process.ready()
 
 
-def test_the_old_process_passes_its_clients_and_their_answers_to_its_successor(made):
-    made.board.tell(entry("e-0", made.port), reset=True)
-    process = started(made)
+def test_predecessor_transfers_its_clients_and_their_responses_to_the_successor(testbed):
+    testbed.discovery.publish(discovery_entry("e-0", testbed.port), reset=True)
+    process = start_process(testbed)
     client = process.client()
-    made.keep(client.sock)
-    client.sock.sendall(call(7, "7" * 16) + call(8, "8" * 16))
-    engine = Stream(made.keep(made.engine.accept()[0]))
-    engine.until(b"REQ 8888888888888888 ")
-    link, (_, channel) = successor(made, process)
+    testbed.close_at_end(client.sock)
+    client.sock.sendall(execute_call(7, "7" * 16) + execute_call(8, "8" * 16))
+    engine = Stream(testbed.close_at_end(testbed.engine.accept()[0]))
+    engine.read_until(b"REQ 8888888888888888 ")
+    link, (_, channel) = connect_and_read_greeting(testbed, process)
     link.sock.sendall(READS)
-    before = inode(made.path(process.port))
+    socket_inode = inode(testbed.path(process.port))
     link.sock.sendall(READY)
-    assert before
-    process.told_to_end()
+    assert socket_inode
+    process.terminate()
     packet, fds, _, _ = socket.recv_fds(channel, 4_096, 1)
     assert packet == b'{"client": 1, "open": [7, 8]}'
-    passed = made.keep(socket.socket(fileno=fds[0]))
-    assert passed.getpeername() == client.sock.getsockname()
+    transferred = testbed.close_at_end(socket.socket(fileno=fds[0]))
+    assert transferred.getpeername() == client.sock.getsockname()
     link.sock.sendall(b'{"leave": [1, 8]}\n')
-    engine.until(b"STOP 8888888888888888\r\n")
+    engine.read_until(b"STOP 8888888888888888\r\n")
     engine.sock.sendall(b"7777777777777777 HIT count=1 6\r\n" + ROWS + b"\r\n")
     number, seqid, data = json.loads(answer := link.message())["answer"]
     assert answer == b'{"answer": [1, 7, "%s"]}\n' % data.encode() and (number, seqid) == (1, 7)
     frame = base64.b64decode(data)
     assert frame[:4] == (len(frame) - 4).to_bytes(4, "big") and ROWS in frame
     assert process.child.wait(20) == 0
-    assert inode(made.path(process.port)) == before  # its successor's by now: it is left there
+    # The socket's file belongs to the successor by now and must not be removed.
+    assert inode(testbed.path(process.port)) == socket_inode
 
 
-# -- The process is the new one
+# -- The process is the successor
 
 
-def hello(made: Upgrade, reads: bytes = b', "reads": 2') -> bytes:
-    """The greeting of a process that knows what the board has told up to the second notice."""
-    head = b'{"hello":{"known":' + listed(2, made.port, **SERVING)
-    rest = b',"seen": ["e-9"], "banned": {"e-1": 123.5}, "fresh": {"e-2": 1700000000000.5}, "teams": {}'
-    return head + rest + reads + b"}}\n"
+def hello_message(testbed: RestartTestbed, reads: bytes = b', "reads": 2') -> bytes:
+    """Return the greeting of a process that knows the watch events up to the second one."""
+    head = b'{"hello":{"known":' + endpoint_list(2, testbed.port, **SERVING)
+    lists = b',"seen": ["e-9"], "banned": {"e-1": 123.5}, "fresh": {"e-2": 1700000000000.5}, "teams": {}'
+    return head + lists + reads + b"}}\n"
 
 
-def succeeding(made: Upgrade, greeting: bytes) -> tuple[Process, Stream, socket.socket]:
-    """A process that was greeted so, its link, and the channel to it."""
-    accepting = made.keep(listener())
-    port = accepting.getsockname()[1]
-    waiting = predecessor(made, port)
-    process = made.serve(port)
-    link, channel = greet(made, waiting, accepting, greeting)
+def start_successor(
+    testbed: RestartTestbed, greeting: bytes
+) -> tuple[Process, Stream, socket.socket]:
+    """Start a process and greet it; return the process, its link and the channel to it."""
+    client_listener = testbed.close_at_end(open_listener())
+    port = client_listener.getsockname()[1]
+    restart_listener = listen_as_predecessor(testbed, port)
+    process = testbed.serve(port)
+    link, channel = greet_successor(testbed, restart_listener, client_listener, greeting)
     return process, link, channel
 
 
-def test_the_new_process_says_what_it_reads_and_when_it_accepts(made):
-    tell_three(made.board, made.port)
-    process, link, _ = succeeding(made, hello(made))
-    assert link.until(b"\n") == READS
+def test_successor_announces_its_message_version_and_when_it_is_ready(testbed):
+    publish_three_engines(testbed.discovery, testbed.port)
+    process, link, _ = start_successor(testbed, hello_message(testbed))
+    assert link.read_until(b"\n") == READS
     assert link.message() == READY
-    assert made.board.asked[0] == 2  # it knew the list, and asked for what came after
-    assert process.ready() and process.excluded() == "1"
-    new, _, first = greeted(made, made.path(process.port))
-    assert first == b"L"
-    assert new.until(b"\n") == hello(made)  # all that it was handed, it hands on
-
-
-def test_the_new_process_waits_for_the_board_before_it_accepts(made):
-    made.board.close()
-    process, link, _ = succeeding(made, hello(made))
-    assert link.until(b"\n") == READS
-    link.use(0, 0)
+    # It knows the list from the greeting, and polls for later events only.
+    assert testbed.discovery.polled_revisions[0] == 2
+    assert process.ready() and process.excluded_engines() == "1"
+    new, _, first_byte = connect_as_successor(testbed, testbed.path(process.port))
+    assert first_byte == b"L"
+    assert new.read_until(b"\n") == hello_message(testbed)  # it hands over all that it received
+
+
+def test_successor_waits_for_discovery_before_it_is_ready(testbed):
+    testbed.discovery.close()
+    process, link, _ = start_successor(testbed, hello_message(testbed))
+    assert link.read_until(b"\n") == READS
+    link.usage_message(0, 0)
     assert not process.ready()
-    assert link.message() == READY  # after its longest wait
+    assert link.message() == READY  # after its maximum wait for discovery
 
 
 @pytest.mark.parametrize("reads", [b', "reads": 2', b""])
-def test_the_new_process_tells_changes_in_the_form_that_the_old_one_reads(made, reads):
-    tell_three(made.board, made.port)
-    process, link, _ = succeeding(made, hello(made, reads))
+def test_successor_sends_changes_in_the_form_that_the_predecessor_reads(testbed, reads):
+    publish_three_engines(testbed.discovery, testbed.port)
+    process, link, _ = start_successor(testbed, hello_message(testbed, reads))
     assert [link.message(), link.message()] == [READS, READY]
-    made.board.tell(entry("e-0", made.port, "DRAINING"))
-    change = b'{"follows":2,"notice":{"rev":3,"pool":{"reset":false,"instances":[%s]}}}\n' % lines(
-        made.port, e_0="DRAINING"
+    testbed.discovery.publish(discovery_entry("e-0", testbed.port, "DRAINING"))
+    change = (
+        b'{"follows":2,"notice":{"rev":3,"pool":{"reset":false,"instances":[%s]}}}\n'
+        % engine_entries(testbed.port, e_0="DRAINING")
     )
-    known = b'{"known":' + listed(3, made.port, **DRAINED) + b"}\n"
+    known = b'{"known":' + endpoint_list(3, testbed.port, **DRAINED) + b"}\n"
     assert link.message() == (change if reads else known)
     link.sock.sendall(b'{"ban": ["e-2", 9.0]}\n')
-    until(lambda: process.excluded() == "2")
+    wait_until(lambda: process.excluded_engines() == "2")
     link.sock.sendall(b'{"ban": ["e-1", null]}\n')
-    until(lambda: process.excluded() == "1")
+    wait_until(lambda: process.excluded_engines() == "1")
     assert process.call("PUT", "/ops/engines/up/e-2")[0] == 200
     assert link.message() == b'{"ban": ["e-2", null]}\n'
-    gone = lines(made.port, e_1="DELETED")
-    notice = b'{"follows":3,"notice":{"rev":4,"pool":{"reset":false,"instances":[%s]}}}\n' % gone
+    removed = engine_entries(testbed.port, e_1="DELETED")
+    notice = b'{"follows":3,"notice":{"rev":4,"pool":{"reset":false,"instances":[%s]}}}\n' % removed
     link.sock.sendall(notice)
     link.sock.sendall(b'{"ask": 4}\n')
-    left = {name: state for name, state in DRAINED.items() if name != "e_1"}
-    assert link.message() == b'{"known":' + listed(4, made.port, **left) + b"}\n"
-    link.sock.sendall(b'{"known":' + listed(5, made.port, **SERVING) + b"}\n")
+    remaining = {name: state for name, state in DRAINED.items() if name != "e_1"}
+    assert link.message() == b'{"known":' + endpoint_list(4, testbed.port, **remaining) + b"}\n"
+    link.sock.sendall(b'{"known":' + endpoint_list(5, testbed.port, **SERVING) + b"}\n")
     link.sock.sendall(b'{"ask": 5}\n')
-    again = {
+    # The engine that was removed and listed again is the last one.
+    restored = {
         "e_0": "SERVING",
         "e_2": "SERVING",
         "e_1": "SERVING",
-    }  # the one that was gone comes last
-    assert link.message() == b'{"known":' + listed(5, made.port, **again) + b"}\n"
+    }
+    assert link.message() == b'{"known":' + endpoint_list(5, testbed.port, **restored) + b"}\n"
 
 
-def test_the_new_process_takes_connections_and_writes_the_old_ones_answers(made):
-    tell_three(made.board, made.port)
-    process, link, channel = succeeding(made, hello(made))
+def test_successor_receives_connections_and_writes_the_predecessors_responses(testbed):
+    publish_three_engines(testbed.discovery, testbed.port)
+    process, link, channel = start_successor(testbed, hello_message(testbed))
     assert [link.message(), link.message()] == [READS, READY]
-    with listener() as place:
-        client = Stream(made.keep(socket.create_connection(place.getsockname())))
-        taken = place.accept()[0]
-    with taken:
-        socket.send_fds(channel, [b'{"client": 1, "open": [5, 6]}'], [taken.fileno()])
-    link.use(1, 0)
-    client.sock.sendall(interrupt(9, 6))
+    with open_listener() as client_listener:
+        client = Stream(
+            testbed.close_at_end(socket.create_connection(client_listener.getsockname()))
+        )
+        connection = client_listener.accept()[0]
+    with connection:
+        socket.send_fds(channel, [b'{"client": 1, "open": [5, 6]}'], [connection.fileno()])
+    link.usage_message(1, 0)
+    client.sock.sendall(interrupt_call(9, 6))
     assert link.message() == b'{"leave": [1, 6]}\n'
     frame = b"\x00\x00\x00\x04rows"
     link.sock.sendall(b'{"answer": [1, 5, "%s"]}\n' % base64.b64encode(frame))
     assert client.frame() == b"rows"
-    client.sock.sendall(call(10, "a" * 16))  # from now on it is the new process's own
-    engine = Stream(made.keep(made.engine.accept()[0]))
-    engine.until(b"REQ aaaaaaaaaaaaaaaa ")
+    client.sock.sendall(execute_call(10, "a" * 16))  # the connection is now the successor's
+    engine = Stream(testbed.close_at_end(testbed.engine.accept()[0]))
+    engine.read_until(b"REQ aaaaaaaaaaaaaaaa ")
     engine.sock.sendall(b"aaaaaaaaaaaaaaaa HIT count=1 6\r\n" + ROWS + b"\r\n")
     assert ROWS in client.frame()
     assert process.ready()
 
 
 @pytest.mark.parametrize("greeting", [b"{]\n", b"[1]\n", b'{"hello":{"known":{}}}\n'])
-def test_the_new_process_starts_by_itself_where_the_greeting_is_of_no_use(made, greeting):
-    tell_three(made.board, made.port)
-    process, link, _ = succeeding(made, greeting)
-    until(process.ready)
+def test_successor_starts_on_its_own_after_a_malformed_greeting(testbed, greeting):
+    publish_three_engines(testbed.discovery, testbed.port)
+    process, link, _ = start_successor(testbed, greeting)
+    wait_until(process.ready)
     assert link.sock.recv(1) == b""
-    made.keep(process.client().sock)
+    testbed.close_at_end(process.client().sock)
--- a/tests/nets/test_replay_results.py
+++ b/tests/nets/test_replay_results.py
@@ -1,7 +1,8 @@
-"""Replays of made-up traces give the results that they always have, field by field.
+"""Tests that replays of synthetic traces give the results of commit 8ce8042, field by field.
 
-Everything goes through the commands: a trace is made, compiled to a plan, and played on the step
-clock. The expected results are those of commit 8ce8042; to write them from a checkout of a version:
+They guard against unintended changes of decisions. Everything is run by commands: a trace is made,
+compiled to a plan, and replayed on the step clock. To write the expected results from a checkout of
+a version:
 
     python -m tests.nets.test_replay_results DIRECTORY
 """
@@ -20,13 +21,13 @@
 ROOT = Path(__file__).parent.parent.parent
 RECORDED = Path(__file__).parent / "recorded"
 TIMEOUT_S = 120
-# What a result tells of the machine that played it: real time that the replay took.
+# Fields of a result that depend on the machine: the real time of the replay.
 MACHINE_FIELDS = ("took_s",)
 
 
 @dataclass(frozen=True)
 class Trace:
-    """A made-up trace, by the options of ``trace make``."""
+    """A synthetic trace, described by the options of ``trace make``."""
 
     pattern: str
     seconds: int
@@ -54,56 +55,69 @@
 }
 
 
-def command(program: Path, *words: str) -> None:
-    """Run a command of a version; whatever it prints is shown where it fails."""
-    done = subprocess.run(
-        [sys.executable, "-m", "umberusher", *words],
+def run_command(program: Path, *arguments: str) -> None:
+    """Run a command of a version; if it fails, show its output."""
+    process = subprocess.run(
+        [sys.executable, "-m", "umberusher", *arguments],
         cwd=program,
         capture_output=True,
         text=True,
         timeout=TIMEOUT_S,
     )
-    assert done.returncode == 0, f"{words}: {done.returncode}\n{done.stdout}\n{done.stderr}"
-    assert "Traceback" not in done.stderr, done.stderr
+    assert (
+        process.returncode == 0
+    ), f"{arguments}: {process.returncode}\n{process.stdout}\n{process.stderr}"
+    assert "Traceback" not in process.stderr, process.stderr
 
 
 def make_plans(program: Path, folder: Path) -> dict[str, str]:
-    """Make every trace and compile it; the paths of the plans by name."""
+    """Make and compile all traces; return the paths of the plans by name."""
     plans = {}
     for name, trace in TRACES.items():
-        rows, plan = str(folder / f"{name}.csv"), str(folder / f"{name}.plan")
-        made = f"--pattern {trace.pattern} --seconds {trace.seconds} --rate {trace.rate}"
-        command(program, "trace", "make", *made.split(), "--seed", str(trace.seed), "-o", rows)
+        trace_file, plan_file = str(folder / f"{name}.csv"), str(folder / f"{name}.plan")
+        trace_options = f"--pattern {trace.pattern} --seconds {trace.seconds} --rate {trace.rate}"
+        run_command(
+            program,
+            "trace",
+            "make",
+            *trace_options.split(),
+            "--seed",
+            str(trace.seed),
+            "-o",
+            trace_file,
+        )
         layout = ("--layout", "google-2011-task-events")
         mapping = ("--mapping", str(RECORDED / "mapping.star"))
-        command(program, "trace", "plan", *layout, *mapping, "--seed", "3", "-o", plan, rows)
-        plans[name] = plan
+        run_command(
+            program, "trace", "plan", *layout, *mapping, "--seed", "3", "-o", plan_file, trace_file
+        )
+        plans[name] = plan_file
     return plans
 
 
-def play(program: Path, folder: Path, plans: dict[str, str], name: str) -> dict:
-    """The result of a replay, without what it tells of the machine."""
+def run_replay(program: Path, folder: Path, plans: dict[str, str], name: str) -> dict:
+    """Return the result of a replay without the fields that depend on the machine."""
     options, plan = REPLAYS[name]
     paths = plans | {each: str(RECORDED / f"{each}.star") for each in ("faults", "teams")}
-    result = folder / f"{name}.json"
-    words = [word.format(**paths) for word in options.split()]
-    step = ("--clock", "step", "--json", str(result))
-    command(program, "trace", "replay", plans[plan], *step, *words)
-    found = json.loads(result.read_text())
-    return {field: value for field, value in found.items() if field not in MACHINE_FIELDS}
+    result_file = folder / f"{name}.json"
+    arguments = [word.format(**paths) for word in options.split()]
+    step_options = ("--clock", "step", "--json", str(result_file))
+    run_command(program, "trace", "replay", plans[plan], *step_options, *arguments)
+    result = json.loads(result_file.read_text())
+    return {field: value for field, value in result.items() if field not in MACHINE_FIELDS}
 
 
-def differences(expected: object, found: object, place: str = "") -> list[str]:
-    """The places where two results differ."""
+def differences(expected: object, found: object, path: str = "") -> list[str]:
+    """Return a line for each field in which two results differ."""
     if isinstance(expected, dict) and isinstance(found, dict):
         names = sorted({*expected, *found})
         return [
             line
             for name in names
-            for line in differences(expected.get(name), found.get(name), f"{place}.{name}")
+            for line in differences(expected.get(name), found.get(name), f"{path}.{name}")
         ]
     same = type(expected) is type(found) and expected == found
-    return [] if same else [f"{place}: expected {expected!r}, found {found!r}"]
+    return [] if same else [f"{path}: expected {expected!r}, found {found!r}"]
 
 
 @pytest.fixture(scope="module")
@@ -112,9 +126,9 @@
 
 
 @pytest.mark.parametrize("name", sorted(REPLAYS))
-def test_a_replay_gives_the_recorded_result(name, plans, tmp_path):
+def test_replay_gives_the_recorded_result(name, plans, tmp_path):
     expected = json.loads((RECORDED / f"replay-{name}.json").read_text())
-    found = play(ROOT, tmp_path, plans, name)
+    found = run_replay(ROOT, tmp_path, plans, name)
     assert found.keys() == expected.keys()
     assert not differences(expected, found)
 
@@ -125,7 +139,7 @@
     with tempfile.TemporaryDirectory() as name:
         plans = make_plans(program, Path(name))
         for each in REPLAYS:
-            found = play(program, Path(name), plans, each)
+            found = run_replay(program, Path(name), plans, each)
             text = json.dumps(found, indent=1, sort_keys=True)
             (RECORDED / f"replay-{each}.json").write_text(text + "\n")
 
--- a/tests/nets/test_scale_run.py
+++ b/tests/nets/test_scale_run.py
@@ -1,7 +1,8 @@
-"""A small scale run on the step clock gives the result that commit 8ce8042 gave, figure by figure.
+"""Tests that a small scale run on the step clock gives the result of commit 8ce8042, figure by figure.
 
-The expectation is also what ``test_commands.py`` reads as a measurement. It was made in a checkout of 8ce8042, beside
-``small_fleet.star``, by ``umberusher scale run small_fleet.star --name fleet --json scale-fleet.json``.
+The expected result is also an input of ``test_commands.py``, as a measurement. It was made in a checkout of 8ce8042,
+in the folder of ``small_fleet.star``, by ``umberusher scale run small_fleet.star --name fleet --json
+scale-fleet.json``.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 PLAN = "small_fleet.star"
 TIMEOUT_S = 120.0
-# Fields of the result that are not the program's doing, each with the reason why it differs from run to run.
+# Fields of the result that don't depend on the program's behaviour, each with the reason why it differs between runs.
 NOT_COMPARED = {
     "at": "the date of the run",
     "commit": "of the checkout that ran",
@@ -28,22 +29,22 @@
 }
 
 
-def compared(document: dict[str, Any]) -> dict[str, Any]:
-    """A result without what is not compared."""
+def comparable(document: dict[str, Any]) -> dict[str, Any]:
+    """Return a result without the fields that are not compared."""
     return {name: value for name, value in document.items() if name not in NOT_COMPARED}
 
 
 @pytest.fixture(scope="module")
-def before() -> dict[str, Any]:
+def expected() -> dict[str, Any]:
     return json.loads((FIXTURES / "measurements" / "scale-fleet.json").read_text())
 
 
 @pytest.fixture(scope="module")
-def now(tmp_path_factory) -> dict[str, Any]:
+def result(tmp_path_factory) -> dict[str, Any]:
     folder = tmp_path_factory.mktemp("scale")
     shutil.copy(HERE / PLAN, folder)
-    result = folder / "scale-fleet.json"
-    line = ["scale", "run", PLAN, "--name", "fleet", "--json", str(result)]
+    result_file = folder / "scale-fleet.json"
+    line = ["scale", "run", PLAN, "--name", "fleet", "--json", str(result_file)]
     subprocess.run(
         [sys.executable, "-m", "umberusher", *line],
         cwd=folder,
@@ -53,31 +54,31 @@
         timeout=TIMEOUT_S,
         check=True,
     )
-    return json.loads(result.read_text())
+    return json.loads(result_file.read_text())
 
 
-def test_the_result_has_the_fields_that_it_had(before, now):
-    assert list(now) == list(before) and now["machine"].keys() == before["machine"].keys()
-    assert now["run"].keys() == before["run"].keys()
+def test_result_has_the_expected_fields(expected, result):
+    assert list(result) == list(expected) and result["machine"].keys() == expected["machine"].keys()
+    assert result["run"].keys() == expected["run"].keys()
 
 
-def test_each_figure_is_the_one_that_it_was(before, now):
+def test_each_figure_has_the_expected_value(expected, result):
     differing = {
-        name: (before["figures"].get(name), now["figures"].get(name))
-        for name in before["figures"].keys() | now["figures"].keys()
-        if before["figures"].get(name) != now["figures"].get(name)
+        name: (expected["figures"].get(name), result["figures"].get(name))
+        for name in expected["figures"].keys() | result["figures"].keys()
+        if expected["figures"].get(name) != result["figures"].get(name)
     }
     assert differing == {}
 
 
-def test_all_else_of_the_result_is_as_it_was(before, now):
-    assert compared(now) == compared(before)
+def test_other_fields_have_the_expected_values(expected, result):
+    assert comparable(result) == comparable(expected)
 
 
-def test_the_run_plays_what_it_is_to_guard(before):
+def test_expected_result_covers_all_scenes_and_serves_statements(expected):
     served = [
         each["value"]
-        for name, each in before["figures"].items()
+        for name, each in expected["figures"].items()
         if name.endswith(": statements served")
     ]
     assert len(served) == 15 and sum(served) > 1_000
--- a/tests/nets/test_wire_recordings.py
+++ b/tests/nets/test_wire_recordings.py
@@ -1,7 +1,8 @@
-"""The decision process answers recorded input as it always has, to the byte.
+"""Tests that the decision process gives the output of commit 8ce8042 for recorded input, to the byte.
 
-The input was recorded by ``wire_world`` and the answers are those of commit 8ce8042. Neither names
-anything inside the package: lines go in on standard input and come out on standard output.
+They guard against unintended changes of decisions. The input was recorded by ``wire_world``.
+Neither input nor output depends on names inside the package: lines are read from standard input and
+written to standard output.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 def first_difference(expected: bytes, found: bytes) -> str:
-    """The first line that differs, with its number, as it was and as it is."""
+    """Describe the first line that differs: its number, the expected and the found line."""
     pairs = zip_longest(expected.splitlines(), found.splitlines())
     for number, (before, now) in enumerate(pairs, 1):
         if before != now:
@@ -37,16 +38,16 @@
 
 @pytest.mark.parametrize("scenario", sorted(DIGESTS))
 def test_recorded_input_gets_the_recorded_answers(scenario):
-    given, expected = recorded(scenario, "input"), recorded(scenario, "output")
-    assert hashlib.sha256(given).hexdigest() == DIGESTS[scenario]["input_sha256"]
+    recorded_input, expected = recorded(scenario, "input"), recorded(scenario, "output")
+    assert hashlib.sha256(recorded_input).hexdigest() == DIGESTS[scenario]["input_sha256"]
     assert hashlib.sha256(expected).hexdigest() == DIGESTS[scenario]["output_sha256"]
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "umberusher.wirehost"],
-        input=given,
+        input=recorded_input,
         capture_output=True,
         cwd=ROOT,
         timeout=TIMEOUT_S,
     )
-    assert (done.returncode, done.stderr) == (0, b"")
-    if done.stdout != expected:
-        pytest.fail(first_difference(expected, done.stdout))
+    assert (process.returncode, process.stderr) == (0, b"")
+    if process.stdout != expected:
+        pytest.fail(first_difference(expected, process.stdout))
--- a/tests/nets/wire_scenarios.py
+++ b/tests/nets/wire_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of the recordings of the text wire: settings of a site, and what happens there."""
+"""Scenarios of the recordings of the text wire: settings of a site, its load and its faults."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 @dataclass
 class Scenario:
-    """One recording: a site's settings and the course of its day."""
+    """One recording: a site's settings, its load and its faults."""
 
     name: str
     seed: int
@@ -80,21 +80,21 @@
     gateways: int
     engines: int
     seconds: float
-    rate: float  # requests a second of all clients
+    rate: float  # requests per second of all clients
     work_ms: tuple[float, ...]  # mean work by class
     mix: tuple[float, ...]  # weight of each class among the requests
     start_ms: float = 4_000.5
     burst: float = 3.0
-    quiet_from: float = 1.0  # share of the time after which a tenth of the clients is left
+    low_load_from: float = 1.0  # share of the duration after which only a tenth of the load remains
     fault_every_s: float = 1.0
     fault_kinds: tuple[str, ...] | None = None
-    fault_most_ms: float = 4_000.0
+    max_fault_ms: float = 4_000.0
     outage_at_s: float | None = None
     restart_at_s: float | None = None
-    list_failures: float = 0.0  # share of subscriptions that fail
-    lost_answers: float = 0.0  # share of attempts that never answer
-    bad_plans: float = 0.0  # share of attempts that take twelve times as long
-    slow_probes: float = 0.0  # share of probes that answer late
+    list_failure_share: float = 0.0  # share of subscriptions that fail
+    lost_response_share: float = 0.0  # share of attempts without a response
+    slow_attempt_share: float = 0.0  # share of attempts that take twelve times as long
+    slow_probe_share: float = 0.0  # share of probes whose response is late
     hints: bool = True
     costs_in_answers: bool = False
     order_keys: int = 8
@@ -125,10 +125,10 @@
         rate=45.0,
         work_ms=(60.0, 1_200.0, 700.0),
         mix=(20, 3, 2),
-        quiet_from=0.85,
+        low_load_from=0.85,
         outage_at_s=24.0,
         restart_at_s=30.0,
-        slow_probes=0.05,
+        slow_probe_share=0.05,
         load_of_others=1.0,
     ),
     Scenario(
@@ -167,7 +167,7 @@
         rate=45.0,
         work_ms=(60.0, 1_000.0, 700.0, 60.0),
         mix=(10, 3, 2, 6),
-        bad_plans=0.05,
+        slow_attempt_share=0.05,
         costs_in_answers=True,
         reports="answers",
         report_fields=("load_share", "depth", "mean_ms", "new_value"),
@@ -198,8 +198,8 @@
         mix=(20, 3, 1),
         burst=8.0,
         fault_every_s=0.3,
-        list_failures=0.4,
-        slow_probes=0.8,
+        list_failure_share=0.4,
+        slow_probe_share=0.8,
         hints=False,
         report_fields=("concurrent", "new_value"),
         restart_at_s=18.0,
@@ -222,7 +222,7 @@
         work_ms=(60.0, 900.0, 300.0),
         mix=(10, 2, 5),
         fault_kinds=("hung", "erring", "late_probes", "restart", "down", "resetting"),
-        lost_answers=0.08,
+        lost_response_share=0.08,
         order_keys=4,
         load_of_others=3.0,
     ),
@@ -301,12 +301,12 @@
         work_ms=(120.0, 1_300.0, 700.0),
         mix=(14, 3, 2),
         burst=2.0,
-        quiet_from=0.9,
+        low_load_from=0.9,
         fault_every_s=0.8,
         fault_kinds=("hung", "slow", "restart", "down", "hung"),
-        lost_answers=0.02,
-        bad_plans=0.08,
-        slow_probes=0.3,
+        lost_response_share=0.02,
+        slow_attempt_share=0.08,
+        slow_probe_share=0.3,
         load_of_others=2.0,
         reports="answers",
         report_fields=("concurrent", "depth"),
@@ -329,9 +329,9 @@
         rate=40.0,
         work_ms=(400.0, 2_500.0, 700.0),
         mix=(8, 3, 1),
-        quiet_from=0.8,
+        low_load_from=0.8,
         fault_every_s=6.0,
-        fault_most_ms=14_000.0,
+        max_fault_ms=14_000.0,
         fault_kinds=("down", "slow"),
         load_of_others=6.0,
         reports="answers",
--- a/tests/teams/test_admission.py
+++ b/tests/teams/test_admission.py
@@ -50,9 +50,8 @@
             admission.settle(now, outcome, 3_000.0)
         else:
             assert outcome.reason is RejectionReason.WORK
-    assert (
-        10_000.0 <= admitted_work_ms <= team.work_burst + 3_000.0 + 2_000.0 * 10
-    )  # 2 threads of work are promised
+    # The contract promises 2 threads of work.
+    assert 10_000.0 <= admitted_work_ms <= team.work_burst + 3_000.0 + 2_000.0 * 10
 
 
 def test_idle_work_is_lent_and_returned_to_its_owner_within_a_second():
--- a/tests/teams/test_retry_budget.py
+++ b/tests/teams/test_retry_budget.py
@@ -63,6 +63,5 @@
         for _ in range(20)
         if budgets.available_right("back", 0.8, 1_000)
     )
-    assert (
-        granted_on_return >= 4 and granted + granted_on_return <= 10 + 4
-    )  # at least the half that was not lent
+    # The owner gets at least the half that was not lent.
+    assert granted_on_return >= 4 and granted + granted_on_return <= 10 + 4
