--- a/umberusher/checker/checker.py
+++ b/umberusher/checker/checker.py
@@ -100,9 +100,9 @@
         return self._hash.hexdigest()
 
     @property
-    def latest_start_ms(self) -> float:
+    def max_late_start_ms(self) -> float:
         """How far beyond its client's deadline work has started, at most."""
-        return self._engines.latest_start_ms
+        return self._engines.max_late_start_ms
 
 
 def check_log(settings: RuleSettings, lines: Iterable[str]) -> Checker:
--- a/umberusher/checker/engine_rules.py
+++ b/umberusher/checker/engine_rules.py
@@ -25,14 +25,14 @@
 
     __slots__ = (
         "_breaches",
-        "_closed_at_ms",
         "_counts",
         "_key_order",
+        "_not_serving_since_ms",
         "_remove_settled",
         "_requests",
         "_retry_budget",
         "_settings",
-        "latest_start_ms",
+        "max_late_start_ms",
     )
 
     def __init__(
@@ -53,16 +53,16 @@
         self._counts = counts
         self._remove_settled = remove_settled
         # By broker and engine: when the broker was notified that nothing goes there any more.
-        self._closed_at_ms: dict[tuple[str, str], float] = {}
+        self._not_serving_since_ms: dict[tuple[str, str], float] = {}
         # How far beyond its client's deadline work has started, at most.
-        self.latest_start_ms = 0.0
+        self.max_late_start_ms = 0.0
 
     def on_notified(self, now_ms: float, broker: str, engine: str, state: str) -> None:
         """Note whether a broker may send to an engine."""
         if state == SERVING:
-            self._closed_at_ms.pop((broker, engine), None)
+            self._not_serving_since_ms.pop((broker, engine), None)
         else:
-            self._closed_at_ms.setdefault((broker, engine), now_ms)
+            self._not_serving_since_ms.setdefault((broker, engine), now_ms)
 
     def on_health_check_read(self, now_ms: float, engine: str, word: str) -> None:
         """Record a health check in a deployment that allows none."""
@@ -197,7 +197,7 @@
             # No breach of the platform's rules, which leave it to the engine; the deadlines'
             # page promises it.
             self._counts[Count.WORK_STARTED_LATE] += 1
-            self.latest_start_ms = max(self.latest_start_ms, now_ms - request.deadline_ms)
+            self.max_late_start_ms = max(self.max_late_start_ms, now_ms - request.deadline_ms)
         is_non_idempotent = request.query_class in self._settings.non_idempotent
         if request.work_start_count > 1 and is_non_idempotent:
             self._breaches.record(
@@ -225,14 +225,14 @@
     def _check_drain(
         self, now_ms: float, engine: str, request_id: str, request: ObservedRequest
     ) -> None:
-        closed_at_ms = self._closed_at_ms.get((request.broker, engine))
-        if closed_at_ms is None:
+        not_serving_since_ms = self._not_serving_since_ms.get((request.broker, engine))
+        if not_serving_since_ms is None:
             return
-        if now_ms > closed_at_ms + self._settings.drain_grace_ms + SLACK_MS:
+        if now_ms > not_serving_since_ms + self._settings.drain_grace_ms + SLACK_MS:
             self._breaches.record(
                 Rule.DRAINS,
                 now_ms,
-                f"{engine}: {request_id} sent {now_ms - closed_at_ms:.0f} ms after "
+                f"{engine}: {request_id} sent {now_ms - not_serving_since_ms:.0f} ms after "
                 f"{request.broker} was told",
             )
 
--- a/umberusher/replay/client_driver.py
+++ b/umberusher/replay/client_driver.py
@@ -31,7 +31,7 @@
 class RetryAfterCount:
     """Clients of a team that came back as a rejection told them, and those that were accepted."""
 
-    returned: int = 0
+    retried: int = 0
     accepted: int = 0
 
 
@@ -89,12 +89,12 @@
             self._send_at(request, request.arrived_ms)
         self.schedule_arrivals()
 
-    def _send_at(self, request: ClientRequest, wanted_ms: float) -> None:
+    def _send_at(self, request: ClientRequest, earliest_ms: float) -> None:
         """Send at a time, or later where the request's key was just written."""
         now_ms = self._clock.now_ms()
-        start_ms = wanted_ms
+        start_ms = earliest_ms
         if request.key:
-            start_ms = self.key_spacing.reserve(request.key, wanted_ms, now_ms)
+            start_ms = self.key_spacing.reserve(request.key, earliest_ms, now_ms)
         if start_ms > now_ms:
             self._loop.call_later(start_ms - now_ms, lambda: self._send(request))
         else:
@@ -123,8 +123,8 @@
             fields["again"] = "1"
         disconnect_after_ms = None
         if request.disconnect_after_ms is not None:
-            leaves_ms = request.arrived_ms + request.disconnect_after_ms
-            disconnect_after_ms = max(leaves_ms - now_ms, 0.0)
+            disconnect_at_ms = request.arrived_ms + request.disconnect_after_ms
+            disconnect_after_ms = max(disconnect_at_ms - now_ms, 0.0)
         return Call(
             request_id,
             fields,
@@ -136,7 +136,7 @@
 
     def _on_done(self, request: ClientRequest, outcome: Outcome, answer: Answer | None) -> None:
         if request.obeys_retry_after and self._options.request_teams:
-            self._count_return(request, outcome)
+            self._count_retry_after(request, outcome)
         if self._may_retry(request, outcome):
             retry_ms = self._clock.now_ms() + self._retry_delay_ms(request, outcome, answer)
             if retry_ms < request.deadline_ms - MIN_BUDGET_MS:
@@ -157,16 +157,16 @@
     ) -> float:
         """Return how long to wait before a retry; note whether the broker told it."""
         retry_after = answer.fields.get("backoff", "") if answer else ""
-        is_told = retry_after.isdigit()
-        delay_ms = float(retry_after) if is_told else DEFAULT_RETRY_DELAY_MS
+        has_retry_after = retry_after.isdigit()
+        delay_ms = float(retry_after) if has_retry_after else DEFAULT_RETRY_DELAY_MS
         request.obeys_retry_after = (
-            outcome is Outcome.REJECTED and is_told and delay_ms < site.MAX_RETRY_AFTER_MS
+            outcome is Outcome.REJECTED and has_retry_after and delay_ms < site.MAX_RETRY_AFTER_MS
         )
         return delay_ms
 
-    def _count_return(self, request: ClientRequest, outcome: Outcome) -> None:
+    def _count_retry_after(self, request: ClientRequest, outcome: Outcome) -> None:
         count = self.retry_after_counts.setdefault(request.fields["team"], RetryAfterCount())
-        count.returned += 1
+        count.retried += 1
         if outcome is not Outcome.REJECTED:
             count.accepted += 1
 
@@ -175,9 +175,11 @@
         scores = [self.score]
         if self._options.request_teams:
             scores.append(self.team_scores[request.fields["team"]])
-        took_ms = self._clock.now_ms() - request.arrived_ms
+        duration_ms = self._clock.now_ms() - request.arrived_ms
         for score in scores:
-            score.add(request.query_class, request.arrived_ms, outcome, took_ms, request.work_ms)
+            score.add(
+                request.query_class, request.arrived_ms, outcome, duration_ms, request.work_ms
+            )
 
 
 def _arrival_ms(row: PlanRow) -> float:
--- a/umberusher/replay/engine_fleet.py
+++ b/umberusher/replay/engine_fleet.py
@@ -69,7 +69,7 @@
         engine = self.engines[name]
         if event == REMOVED and engine.alive:
             entry = self._discovery.entry(engine, "DELETED")
-            engine.die()
+            engine.crash()
             self._discovery.publish([entry])
         elif event == ADDED and not engine.alive:
             engine.start(warming_up=True)
@@ -108,14 +108,14 @@
         number = len(self.engines)
         known_kind = kind if kind in site.MACHINE_KINDS else SMALL_KIND
         size = site.MACHINE_KINDS[known_kind]
-        draw = random.Random(f"node/{self._options.seed}/{name}")
+        rng = random.Random(f"node/{self._options.seed}/{name}")
         shape = MachineShape(
             size.cores,
             size.memory_mb,
-            speed=draw.uniform(0.9, 1.1),
-            knee=draw.uniform(1.4, 1.8),
-            thrash=draw.uniform(0.45, 0.9),
-            max_sessions_per_core=draw.randint(6, 10),
+            speed=rng.uniform(0.9, 1.1),
+            knee=rng.uniform(1.4, 1.8),
+            thrash=rng.uniform(0.45, 0.9),
+            max_sessions_per_core=rng.randint(6, 10),
         )
         is_even = number % 2 == 0
         return Engine(
--- a/umberusher/replay/fault_injector.py
+++ b/umberusher/replay/fault_injector.py
@@ -13,7 +13,7 @@
 from umberusher.standin.engine import Engine
 from umberusher.traces.plan import MachineEvent
 
-SLOW_READER_TURNS_PER_S = 10
+SLOW_READS_PER_S = 10
 
 
 class FaultInjector:
@@ -72,7 +72,7 @@
 
     def _make_unresponsive(self, fault: Fault, engine: Engine) -> None:
         engine.faults.unresponsive = True
-        self._call_at_s(fault.until, engine.respond_again)
+        self._call_at_s(fault.until, engine.resume_answers)
 
     def _reset_connections(self, _fault: Fault, engine: Engine) -> None:
         engine.reset_connections()
@@ -109,7 +109,7 @@
         self._call_at_s(fault.until, end)
 
     def _read_slowly(self, fault: Fault, engine: Engine) -> None:
-        engine.read_slowly(max(round(fault.rate / SLOW_READER_TURNS_PER_S), 1))
+        engine.read_slowly(max(round(fault.rate / SLOW_READS_PER_S), 1))
         self._call_at_s(fault.until, lambda: engine.read_slowly(0))
 
     def _crash(self, fault: Fault, engine: Engine) -> None:
--- a/umberusher/replay/key_spacing.py
+++ b/umberusher/replay/key_spacing.py
@@ -19,12 +19,12 @@
         # Requests that had to wait for their key.
         self.delay_count = 0
 
-    def reserve(self, key: str, wanted_ms: float, now_ms: float) -> float:
+    def reserve(self, key: str, earliest_ms: float, now_ms: float) -> float:
         """Reserve a key's next free time at or after the wanted one; return it."""
         free_at_ms = self._free_at_ms.get(key, 0.0)
-        start_ms = max(free_at_ms, wanted_ms)
+        start_ms = max(free_at_ms, earliest_ms)
         self._free_at_ms[key] = start_ms + KEY_INTERVAL_MS
-        if free_at_ms > wanted_ms:
+        if free_at_ms > earliest_ms:
             self.delay_count += 1
         if len(self._free_at_ms) > MAX_KEYS:
             self._free_at_ms = {
--- a/umberusher/replay/plans.py
+++ b/umberusher/replay/plans.py
@@ -36,12 +36,14 @@
     key_numbers = {"": 0}
     request_teams: list[str] = []
 
-    def rows(order: int, team: str, plan: Plan) -> Iterator[Row]:
+    def rows(team_order: int, team: str, plan: Plan) -> Iterator[Row]:
         for number, request in enumerate(plan.requests()):
             query_class = classes.index(plan.classes[request.query_class])
-            yield request.at_us, order, number, query_class, request, team
+            yield request.at_us, team_order, number, query_class, request, team
 
-    sources = (rows(order, team, plan) for order, (team, plan) in enumerate(plans.items()))
+    sources = (
+        rows(team_order, team, plan) for team_order, (team, plan) in enumerate(plans.items())
+    )
     for at_us, _, _, query_class, request, team in heapq.merge(*sources):
         key = key_numbers.setdefault(request.key, len(key_numbers))
         merged.append(
--- a/umberusher/replay/replay.py
+++ b/umberusher/replay/replay.py
@@ -28,7 +28,7 @@
 from umberusher.replay.fault_injector import FaultInjector
 from umberusher.replay.options import ClockKind, ReplayOptions
 from umberusher.replay.requests import RequestFactory
-from umberusher.replay.result import ReplayFigures, result_document
+from umberusher.replay.result import ReplayRecord, result_document
 from umberusher.standin.client_pool import ClientPool
 from umberusher.standin.clock import StepLoop
 from umberusher.standin.deployment import DeploymentTerms
@@ -38,19 +38,19 @@
 READY_TIMEOUT_S = 10.0
 """For brokers to say that they are ready."""
 READY_CHECK_INTERVAL_S = 0.1
-SETTLING_S = 0.5
+CONNECTION_SETTLING_S = 0.5
 """After the clients have connected, before the replay starts."""
 START_DELAY_S = 0.05
-MAX_TAIL_S = 30.0
+MAX_LAST_ANSWER_WAIT_S = 30.0
 """After the last request, for the longest deadline."""
-FINAL_EVENTS_S = 0.2
+FINAL_EVENTS_WAIT_S = 0.2
 """After the last answer, so that the rules see the lines that are under way."""
 CONNECTIONS_AT_START = 4
 """Connections of clients to each broker."""
-LONGEST_WALL_STEP_MS = 50.0
-LONGEST_STEP_MS = 1000.0
-LONGEST_WAITING_STEP_MS = 100.0
-SHORTEST_WAITING_STEP_MS = 0.1
+MAX_WALL_STEP_MS = 50.0
+MAX_STEP_MS = 1000.0
+MAX_WAIT_STEP_MS = 100.0
+MIN_WAIT_STEP_MS = 0.1
 PROGRESS_INTERVAL_REQUESTS = 256
 BROKER_MEMORY_MB = 192
 UNLIMITED_MEMORY_MB = 1e6
@@ -147,7 +147,7 @@
     def document(self) -> dict[str, Any]:
         """Return the result as JSON."""
         return result_document(
-            ReplayFigures(
+            ReplayRecord(
                 options=self.options,
                 planned_count=len(self.plan),
                 interrupted=self.interrupted,
@@ -176,7 +176,7 @@
         for pool in self.clients:
             while len(pool.connections) < CONNECTIONS_AT_START and pool.connect():
                 pass
-        self._run_for(SETTLING_S)
+        self._run_for(CONNECTION_SETTLING_S)
 
     def _wait_until_ready(self) -> None:
         timeout_s = self.loop.clock() + READY_TIMEOUT_S
@@ -194,27 +194,27 @@
         self._injector.schedule(self.options.faults, self.plan.machines)
         self.driver.schedule_arrivals()
         last_request_s = self.plan.columns["at_us"][-1] / 1e6 if len(self.plan) else 0.0
-        end_ms = (last_request_s + MAX_TAIL_S) * 1000.0
+        end_ms = (last_request_s + MAX_LAST_ANSWER_WAIT_S) * 1000.0
         is_wall = self.options.clock == ClockKind.WALL
-        longest_step_ms = LONGEST_WALL_STEP_MS if is_wall else LONGEST_STEP_MS
+        max_step_ms = MAX_WALL_STEP_MS if is_wall else MAX_STEP_MS
         driver = self.driver
-        shown = 0
+        reported_count = 0
         while not driver.all_started or driver.open_count:
             if self.clock.now_ms() >= end_ms:
                 break
-            self.loop.step(longest_step_ms)
-            if driver.started_count - shown >= PROGRESS_INTERVAL_REQUESTS:
-                shown = driver.started_count
-                self._progress(shown)
+            self.loop.step(max_step_ms)
+            if driver.started_count - reported_count >= PROGRESS_INTERVAL_REQUESTS:
+                reported_count = driver.started_count
+                self._progress(reported_count)
         self._progress(driver.started_count)
-        self._run_for(FINAL_EVENTS_S)
+        self._run_for(FINAL_EVENTS_WAIT_S)
 
     def _run_for(self, duration_s: float) -> None:
         until_s = self.loop.clock() + duration_s
         while self.loop.clock() < until_s:
             remaining_ms = (until_s - self.loop.clock()) * 1000.0
-            step_ms = max(remaining_ms, SHORTEST_WAITING_STEP_MS)
-            self.loop.step(min(LONGEST_WAITING_STEP_MS, step_ms))
+            step_ms = max(remaining_ms, MIN_WAIT_STEP_MS)
+            self.loop.step(min(MAX_WAIT_STEP_MS, step_ms))
 
     def _broker_configuration(self, number: int) -> dict[str, Any]:
         name = f"b{number}"
--- a/umberusher/replay/report.py
+++ b/umberusher/replay/report.py
@@ -125,8 +125,8 @@
     return text[text.index("<svg") :]
 
 
-def _table(heads: list[str], rows: Sequence[Row]) -> str:
-    head = "".join(f"<th>{html.escape(each)}</th>" for each in heads)
+def _table(headers: list[str], rows: Sequence[Row]) -> str:
+    head = "".join(f"<th>{html.escape(each)}</th>" for each in headers)
     body = "".join(f"<tr>{_cells(row)}</tr>" for row in rows)
     return f"<table><tr>{head}</tr>{body}</table>"
 
--- a/umberusher/replay/requests.py
+++ b/umberusher/replay/requests.py
@@ -65,7 +65,7 @@
         """Make a request that arrives now. The order of the draws must stay."""
         query_class = self._plan.classes[row.query_class]
         settings = site.CLASS_BY_NAME[query_class]
-        draw = random.Random((self._options.seed << 32) ^ number)
+        rng = random.Random((self._options.seed << 32) ^ number)
         key = ""
         if settings.get("keep_order", False):
             key = row.key or f"none-{number}"
@@ -77,8 +77,8 @@
             query_class == site.LOAD_CLASS,
             f"{number:08x}",
         )
-        fields = self._draw_fields(draw, number, query_class, row, key)
-        limit_ms = self._draw_limit_ms(draw, settings["deadline_ms"])
+        fields = self._draw_fields(rng, number, query_class, row, key)
+        limit_ms = self._draw_limit_ms(rng, settings["deadline_ms"])
         return ClientRequest(
             number=number,
             query_class=query_class,
@@ -88,20 +88,20 @@
             fields=fields,
             arrived_ms=now_ms,
             deadline_ms=now_ms + limit_ms,
-            broker=self._draw_broker(draw, key),
-            disconnect_after_ms=self._draw_disconnect_ms(draw, limit_ms),
+            broker=self._draw_broker(rng, key),
+            disconnect_after_ms=self._draw_disconnect_ms(rng, limit_ms),
         )
 
     def _draw_fields(
         self,
-        draw: random.Random,
+        rng: random.Random,
         number: int,
         query_class: str,
         row: PlanRow,
         key: str,
     ) -> dict[str, str]:
-        estimate_ms = row.work_ms * math.exp(draw.gauss(0.0, ESTIMATE_SPREAD))
-        memory_estimate_mb = max(row.memory_mb * math.exp(draw.gauss(0.0, MEMORY_SPREAD)), 1.0)
+        estimate_ms = row.work_ms * math.exp(rng.gauss(0.0, ESTIMATE_SPREAD))
+        memory_estimate_mb = max(row.memory_mb * math.exp(rng.gauss(0.0, MEMORY_SPREAD)), 1.0)
         fields = {
             "method": query_class,
             "est": f"{estimate_ms:.1f}",
@@ -113,28 +113,28 @@
             fields["team"] = self._options.request_teams[number]
         if self._terms.tenant_quotas:
             names, quotas = zip(*self._terms.tenant_quotas, strict=True)
-            fields["acct"] = draw.choices(names, quotas)[0]
+            fields["acct"] = rng.choices(names, quotas)[0]
         return fields
 
-    def _draw_limit_ms(self, draw: random.Random, class_deadline_ms: float) -> float:
-        limit_ms = class_deadline_ms * draw.uniform(MIN_DEADLINE_FRACTION, 1.0)
+    def _draw_limit_ms(self, rng: random.Random, class_deadline_ms: float) -> float:
+        limit_ms = class_deadline_ms * rng.uniform(MIN_DEADLINE_FRACTION, 1.0)
         tight_fraction = self._options.tight_deadline_fraction
-        if tight_fraction and draw.random() < tight_fraction:
-            return MIN_TIGHT_DEADLINE_MS + TIGHT_DEADLINE_RANGE_MS * draw.random() ** 2
+        if tight_fraction and rng.random() < tight_fraction:
+            return MIN_TIGHT_DEADLINE_MS + TIGHT_DEADLINE_RANGE_MS * rng.random() ** 2
         return limit_ms
 
-    def _draw_broker(self, draw: random.Random, key: str) -> int:
+    def _draw_broker(self, rng: random.Random, key: str) -> int:
         if key:
             return xxhash.xxh3_64_intdigest(key.encode()) % self._options.broker_count
-        broker = draw.getrandbits(BROKER_DRAW_BITS) % self._options.broker_count
+        broker = rng.getrandbits(BROKER_DRAW_BITS) % self._options.broker_count
         uneven_fraction = self._options.uneven_fraction
-        if uneven_fraction and draw.random() < uneven_fraction:
+        if uneven_fraction and rng.random() < uneven_fraction:
             return 0
         return broker
 
-    def _draw_disconnect_ms(self, draw: random.Random, limit_ms: float) -> float | None:
+    def _draw_disconnect_ms(self, rng: random.Random, limit_ms: float) -> float | None:
         """Draw when a client leaves: mostly early, half of them within an eighth of their time."""
-        if draw.random() >= self._options.disconnect_fraction:
+        if rng.random() >= self._options.disconnect_fraction:
             return None
-        delay_ms = limit_ms * MAX_DISCONNECT_FRACTION * draw.random() ** 3
+        delay_ms = limit_ms * MAX_DISCONNECT_FRACTION * rng.random() ** 3
         return max(delay_ms, MIN_DISCONNECT_MS)
--- a/umberusher/replay/result.py
+++ b/umberusher/replay/result.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class ReplayFigures:
+class ReplayRecord:
     """What a replay leaves behind."""
 
     options: ReplayOptions
@@ -36,33 +36,33 @@
     notes: Counter[str]
 
 
-def result_document(figures: ReplayFigures) -> dict[str, Any]:
+def result_document(record: ReplayRecord) -> dict[str, Any]:
     """Return the result as JSON; the service is None where it was not played as planned."""
-    driver = figures.driver
+    driver = record.driver
     lag_ms = quantiles(driver.lags_ms)
     kept_pace = not driver.lags_ms or _keeps_pace(lag_ms)
-    is_complete = not figures.interrupted and driver.all_started
+    is_complete = not record.interrupted and driver.all_started
     document = driver.score.document() | {
         "partial": not is_complete,
         "kept_pace": kept_pace,
         "client_lag_ms": lag_ms,
-        "clock": str(figures.options.clock),
-        "seed": figures.options.seed,
-        "nodes": len(figures.engines),
-        "brokers": figures.options.broker_count,
+        "clock": str(record.options.clock),
+        "seed": record.options.seed,
+        "nodes": len(record.engines),
+        "brokers": record.options.broker_count,
         "played": driver.started_count,
-        "planned": figures.planned_count,
+        "planned": record.planned_count,
     }
-    document |= _checker_document(figures.checker, crashed=figures.brokers.crash_count > 0)
+    document |= _checker_document(record.checker, crashed=record.brokers.crash_count > 0)
     document |= {
-        "wasted_ms": round(sum(engine.account.wasted_ms for engine in figures.engines), 1),
-        "worked_ms": round(sum(engine.account.worked_ms for engine in figures.engines), 1),
-        "account": dict(sorted(figures.brokers.account.items())),
+        "wasted_ms": round(sum(engine.account.wasted_ms for engine in record.engines), 1),
+        "worked_ms": round(sum(engine.account.worked_ms for engine in record.engines), 1),
+        "account": dict(sorted(record.brokers.account.items())),
         "teams": _teams_document(driver),
-        "broker_log": dict(figures.brokers.log_lines.most_common(MAX_LOG_LINES)),
-        "digest": figures.checker.digest,
+        "broker_log": dict(record.brokers.log_lines.most_common(MAX_LOG_LINES)),
+        "digest": record.checker.digest,
         "key_delays": driver.key_spacing.delay_count,
-        "notes": _notes_document(figures),
+        "notes": _notes_document(record),
     }
     if not kept_pace or not is_complete:
         # A figure would be one of the machine, not of the broker.
@@ -87,7 +87,7 @@
         "breaches": dict(sorted(checker.breaches.counts.items())),
         "attempts": counts[Count.ATTEMPTS],
         "begun": counts[Count.WORK_STARTED],
-        "begun_after": round(checker.latest_start_ms, 2),
+        "begun_after": round(checker.max_late_start_ms, 2),
         "further_attempts": counts[Count.RETRIES],
         "read_after_the_end": counts[Count.READ_AFTER_END],
         "begun_late": counts[Count.WORK_STARTED_LATE],
@@ -99,13 +99,13 @@
     teams = {}
     for team, score in driver.team_scores.items():
         count = driver.retry_after_counts.get(team)
-        came_back = [count.returned, count.accepted] if count else [0, 0]
-        teams[team] = score.document() | {"came_back": came_back}
+        retry_counts = [count.retried, count.accepted] if count else [0, 0]
+        teams[team] = score.document() | {"came_back": retry_counts}
     return teams
 
 
-def _notes_document(figures: ReplayFigures) -> dict[str, int]:
-    notes = dict(figures.notes)
-    if figures.brokers.crash_count:
-        notes[CRASHED] = figures.brokers.crash_count
+def _notes_document(record: ReplayRecord) -> dict[str, int]:
+    notes = dict(record.notes)
+    if record.brokers.crash_count:
+        notes[CRASHED] = record.brokers.crash_count
     return dict(sorted(notes.items()))
--- a/umberusher/replay/score.py
+++ b/umberusher/replay/score.py
@@ -73,7 +73,12 @@
         self._disconnected_count = 0
 
     def add(
-        self, query_class: str, arrived_ms: float, outcome: Outcome, took_ms: float, work_ms: float
+        self,
+        query_class: str,
+        arrived_ms: float,
+        outcome: Outcome,
+        duration_ms: float,
+        work_ms: float,
     ) -> None:
         """Count a first attempt, its client's retries with it.
 
@@ -81,7 +86,7 @@
             query_class: Its class.
             arrived_ms: When it arrived, since the replay's start.
             outcome: What became of it in the end.
-            took_ms: From its arrival to its end.
+            duration_ms: From its arrival to its end.
             work_ms: Its true work.
         """
         score = self._by_class[query_class]
@@ -95,9 +100,9 @@
         earned = 0.0
         if ending is Ending.SERVED:
             if len(score.latencies_ms) < MAX_LATENCY_SAMPLES:
-                score.latencies_ms.append(took_ms)
+                score.latencies_ms.append(duration_ms)
             earned = weight
-            if took_ms > _objective_ms(query_class, work_ms):
+            if duration_ms > _objective_ms(query_class, work_ms):
                 ending = Ending.LATE
                 earned = weight * site.CLASS_BY_NAME[query_class]["late_worth"]
         score.requests += 1
@@ -125,14 +130,14 @@
         requested = sum(self._requested)
         if not requested:
             return 0.0
-        whole = sum(self._earned) / requested
+        overall = sum(self._earned) / requested
         worst_class = min(
             (each.earned / each.requested for each in self._by_class.values() if each.requested),
             default=0.0,
         )
         mix = site.SCORING_MIX
         return 100.0 * (
-            mix["whole"] * whole
+            mix["whole"] * overall
             + mix["worst_window"] * self.worst_window()
             + mix["worst_class"] * worst_class
         )
--- a/umberusher/standin/answer_writer.py
+++ b/umberusher/standin/answer_writer.py
@@ -11,17 +11,17 @@
 class AnswerWriter:
     """The answers of one incarnation of an engine; holds them while it is unresponsive."""
 
-    __slots__ = ("_faults", "_held", "_loop")
+    __slots__ = ("_faults", "_loop", "_withheld")
 
     def __init__(self, loop: Loop, faults: EngineFaults) -> None:
         self._loop = loop
         self._faults = faults
-        self._held: list[tuple[EngineConnection, bytes]] = []
+        self._withheld: list[tuple[EngineConnection, bytes]] = []
 
     def write(self, connection: EngineConnection, data: bytes) -> None:
         """Write a line now, after the delay of a fault, or when the engine responds again."""
         if self._faults.unresponsive:
-            self._held.append((connection, data))
+            self._withheld.append((connection, data))
         elif self._faults.network_delay_ms:
             self._loop.call_later(
                 self._faults.network_delay_ms, lambda: connection.transport.send(RawMessage(data))
@@ -39,10 +39,10 @@
         self.write(connection, data[:cut_after_bytes])
         connection.reset()
 
-    def respond_again(self) -> None:
+    def resume_answers(self) -> None:
         """End an unresponsive phase: what was held goes out."""
         self._faults.unresponsive = False
-        held = self._held
-        self._held = []
-        for connection, data in held:
+        withheld = self._withheld
+        self._withheld = []
+        for connection, data in withheld:
             connection.transport.send(RawMessage(data))
--- a/umberusher/standin/client_pool.py
+++ b/umberusher/standin/client_pool.py
@@ -18,7 +18,7 @@
 
 MAX_OPEN_CALLS = 32
 """Calls of one connection that the protocol allows."""
-WANTED_OPEN_CALLS = 20
+TARGET_OPEN_CALLS = 20
 """Calls of one connection above which another one is opened."""
 CROSSED_CLOSE_MS = 50.0
 """A call that is sent within this time before a close is sent again, once."""
@@ -75,7 +75,7 @@
             key=lambda connection: (not connection.is_open, len(connection.open_calls)),
             default=None,
         )
-        if best is None or len(best.open_calls) >= WANTED_OPEN_CALLS:
+        if best is None or len(best.open_calls) >= TARGET_OPEN_CALLS:
             best = self.connect() or best
         if best is None or len(best.open_calls) >= MAX_OPEN_CALLS:
             call.done(Outcome.LOST, None)
--- a/umberusher/standin/engine.py
+++ b/umberusher/standin/engine.py
@@ -27,11 +27,11 @@
 INBOUND_BYTES = (1 << 20) + 8_192  # the largest request and its line
 OUTBOUND_BYTES = 1 << 20
 LISTEN_BACKLOG = 512
-ACCEPTS_PER_TURN = 64
+ACCEPT_BATCH_SIZE = 64
 
-READS_QUEUED = 1
+READING_QUEUED = 1
 """An INFO line's figure for an attempt that waits for memory or its turn."""
-READS_QUEUED_FOR_GROUP = 2
+READING_QUEUED_FOR_GROUP = 2
 """The same for one that waits for its group of tables."""
 
 
@@ -110,7 +110,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.bind(("127.0.0.1", 0))
         sock.listen(LISTEN_BACKLOG)
-        self._listener = Listener(self.loop, sock, ACCEPTS_PER_TURN, self._accept, lambda: None)
+        self._listener = Listener(self.loop, sock, ACCEPT_BATCH_SIZE, self._accept, lambda: None)
         self._listener.set_paused(False)
         self._work = EngineWork(
             self.name,
@@ -130,7 +130,7 @@
             self._terms.progress_interval_ms, self._write_progress
         )
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """End the process: its connections are reset, its work is lost."""
         if not self.alive:
             return
@@ -140,27 +140,27 @@
             self._progress_timer.cancel()
         self._listener.close()
         self.reset_connections()
-        self._work.abandon()
+        self._work.abandon_all()
 
     def close(self) -> None:
         """Release all descriptors."""
-        self.die()
+        self.crash()
 
     def reset_connections(self) -> None:
         """Reset all connections; the process goes on."""
         for connection in list(self._connections.values()):
             connection.reset()
 
-    def read_slowly(self, bytes_per_turn: int) -> None:
+    def read_slowly(self, bytes_per_interval: int) -> None:
         """Read so many bytes every tenth of a second on each connection; 0 ends it."""
-        self.faults.read_bytes_per_turn = bytes_per_turn
-        if bytes_per_turn:
+        self.faults.read_bytes_per_interval = bytes_per_interval
+        if bytes_per_interval:
             for connection in list(self._connections.values()):
                 connection.read_slowly()
 
-    def respond_again(self) -> None:
+    def resume_answers(self) -> None:
         """End an unresponsive phase: what was held goes out."""
-        self._writer.respond_again()
+        self._writer.resume_answers()
 
     def _accept(self, sock: socket.socket) -> None:
         self._last_connection_id += 1
@@ -168,7 +168,7 @@
         connection = EngineConnection(self, transport, self._last_connection_id)
         self._connections[connection.connection_id] = connection
         self.loop.spawn(transport.serve())
-        if self.faults.read_bytes_per_turn:
+        if self.faults.read_bytes_per_interval:
             connection.read_slowly()
 
     def on_connection_closed(self, connection: EngineConnection) -> None:
@@ -176,7 +176,7 @@
         self._connections.pop(connection.connection_id, None)
         self._sink(EventKind.CONNECTION_CLOSED, self.name, connection.connection_id)
         for attempt in list(connection.attempts.values()):
-            self._work.give_up(attempt)
+            self._work.abandon(attempt)
 
     # -- Commands
 
@@ -229,7 +229,7 @@
         self._sink(EventKind.ATTEMPT_CANCELLED, self.name, connection.connection_id, request_id)
         attempt = connection.attempts.get(request_id)
         if attempt:
-            self._work.give_up(attempt)
+            self._work.abandon(attempt)
 
     def _on_priority(self, connection: EngineConnection, command: Command) -> None:
         attempt = connection.attempts.get(command.request_id)
@@ -327,7 +327,7 @@
         completion = self._work.machine.completion(task.name)
         if completion is None:
             waits_for_group = task.locked_group in self._work.machine.locked_groups
-            reading = READS_QUEUED_FOR_GROUP if waits_for_group else READS_QUEUED
+            reading = READING_QUEUED_FOR_GROUP if waits_for_group else READING_QUEUED
             fields = f"why=waits,reading={reading}"
         elif now_ms - (task.started_at_ms or 0.0) >= self._terms.progress_interval_ms:
             fields = f"why=done,reading={completion:.2f}"
--- a/umberusher/standin/engine_connection.py
+++ b/umberusher/standin/engine_connection.py
@@ -92,14 +92,14 @@
             socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_RECEIVE_BUFFER_BYTES
         )
         self.transport.set_reading_paused(True)
-        self._read_slow_turn()
+        self._read_slow_chunk()
 
     @property
     def _is_open(self) -> bool:
         return self.transport.state is State.OPEN
 
     def _on_data(self) -> None:
-        if self._engine.faults.read_bytes_per_turn:
+        if self._engine.faults.read_bytes_per_interval:
             # What came with the end of the connection is given up with it.
             self.read_slowly()
             return
@@ -127,10 +127,10 @@
         if self._is_open:
             self._engine.handle(self, command)
 
-    def _read_slow_turn(self) -> None:
+    def _read_slow_chunk(self) -> None:
         if not self._is_open:
             return
-        size = self._engine.faults.read_bytes_per_turn
+        size = self._engine.faults.read_bytes_per_interval
         if not size:
             self._end_slow_reading()
             return
@@ -141,7 +141,7 @@
         except OSError:
             self.transport.close("gone")
             return
-        self._engine.loop.call_later(SLOW_READ_INTERVAL_MS, self._read_slow_turn)
+        self._engine.loop.call_later(SLOW_READ_INTERVAL_MS, self._read_slow_chunk)
         self.transport.inbound.write(received)
         while self._is_open:
             command = next_command(self.transport.inbound)
--- a/umberusher/standin/engine_faults.py
+++ b/umberusher/standin/engine_faults.py
@@ -15,7 +15,7 @@
         cut_result_after_bytes: Bytes of the next result that are written before a reset.
         reject_health_checks: It answers health checks with SICK.
         network_delay_ms: Delay of each direction, on top of loopback's.
-        read_bytes_per_turn: What it reads each tenth of a second, and no more; 0 for no limit.
+        read_bytes_per_interval: What it reads each tenth of a second, and no more; 0 for no limit.
     """
 
     unresponsive: bool = False
@@ -23,4 +23,4 @@
     cut_result_after_bytes: int | None = None
     reject_health_checks: bool = False
     network_delay_ms: float = 0.0
-    read_bytes_per_turn: int = 0
+    read_bytes_per_interval: int = 0
--- a/umberusher/standin/engine_work.py
+++ b/umberusher/standin/engine_work.py
@@ -92,7 +92,7 @@
         attempt.task.priority = priority
         self.schedule_review()
 
-    def give_up(self, attempt: EngineAttempt) -> None:
+    def abandon(self, attempt: EngineAttempt) -> None:
         """Nobody waits for an attempt: cancel it where the engine supports that, else run on."""
         attempt.connection.attempts.pop(attempt.request_id, None)
         attempt.wanted = False
@@ -137,7 +137,7 @@
             self._review_timer.cancel()
             self._review_timer = None
 
-    def abandon(self) -> None:
+    def abandon_all(self) -> None:
         """Lose all attempts, as a process that ends does."""
         for attempt in self._attempts.values():
             if attempt.task.started_at_ms is not None:
--- a/umberusher/standin/machine.py
+++ b/umberusher/standin/machine.py
@@ -192,9 +192,13 @@
         shape = self.shape
         if not self.threads:
             return shape.speed
-        age = (self.now_ms - self.started_at_ms) / shape.warm_up_ms if shape.warm_up_ms else 1.0
-        warm = min(shape.warm_up_floor + (1.0 - shape.warm_up_floor) * max(age, 0.0), 1.0)
-        capacity = shape.cores * shape.knee * warm
+        warm_up_progress = (
+            (self.now_ms - self.started_at_ms) / shape.warm_up_ms if shape.warm_up_ms else 1.0
+        )
+        warm_up_factor = min(
+            shape.warm_up_floor + (1.0 - shape.warm_up_floor) * max(warm_up_progress, 0.0), 1.0
+        )
+        capacity = shape.cores * shape.knee * warm_up_factor
         overload = self.threads / capacity
         if overload <= 1.0:
             return shape.speed
@@ -262,9 +266,9 @@
 
     def _enqueue(self, task: Task) -> None:
         """Queue a task behind all of its priority, before those of a lower one."""
-        place = len(self.queue)
+        position = len(self.queue)
         for index, queued in enumerate(self.queue):
             if queued.priority < task.priority:
-                place = index
+                position = index
                 break
-        self.queue.insert(place, task)
+        self.queue.insert(position, task)
--- a/umberusher/standin/thrift_client.py
+++ b/umberusher/standin/thrift_client.py
@@ -111,10 +111,10 @@
         self._data = data
         self._offset = 0
 
-    def integer(self, form: str) -> int:
+    def integer(self, struct_format: str) -> int:
         """Read values in a format of :mod:`struct`; return the last one."""
-        values = struct.unpack_from(form, self._data, self._offset)
-        self._offset += struct.calcsize(form)
+        values = struct.unpack_from(struct_format, self._data, self._offset)
+        self._offset += struct.calcsize(struct_format)
         return int(values[-1])
 
     def string(self) -> bytes:
