--- a/umberusher/checker/breaches.py
+++ b/umberusher/checker/breaches.py
@@ -9,11 +9,11 @@
 
 from umberusher.checker.settings import SLACK_MS
 
-MAX_RECORDED = 100  # breaches that are kept word for word; all are counted
+MAX_RECORDED = 100  # breaches whose descriptions are kept; all are counted
 
 
 class Rule(StrEnum):
-    """The rules that are checked; the values stand in result files."""
+    """The rules that are checked; the values are written to result files."""
 
     ANSWERED_ONCE = "answered once"
     SERVED_RESULT = "served what an engine made"
@@ -37,13 +37,13 @@
     description: str
 
     def document(self) -> dict[str, str | float]:
-        """Return the breach as result files hold it."""
+        """Return the breach as it is written to result files."""
         return {"rule": self.rule.value, "at_ms": round(self.at_ms, 1), "what": self.description}
 
 
 @dataclass(slots=True, frozen=True)
 class Suspicion:
-    """A breach unless ``cleared`` holds at ``until_ms``."""
+    """A breach unless ``cleared`` returns true when it is called after ``until_ms``."""
 
     until_ms: float
     cleared: Callable[[], bool]
@@ -52,14 +52,14 @@
 
 
 class BreachLog:
-    """Count all breaches and keep the first ones; hold suspicions until their time has come."""
+    """Counts all breaches, records the first ones, and holds suspicions until they are due."""
 
     __slots__ = ("_suspicions", "counts", "recorded")
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.recorded: list[Breach] = []
-        # All wait equally long, so the oldest is due first.
+        # All suspicions wait for the same time, so the oldest is due first.
         self._suspicions: deque[Suspicion] = deque()
 
     def record(self, rule: Rule, at_ms: float, description: str) -> None:
@@ -71,16 +71,16 @@
     def suspect(
         self, rule: Rule, at_ms: float, description: str, cleared: Callable[[], bool]
     ) -> None:
-        """Record a breach unless it clears up within the slack of the sockets."""
+        """Record a breach unless it clears up within ``SLACK_MS``."""
         self._suspicions.append(Suspicion(at_ms + SLACK_MS, cleared, rule, description))
 
     def settle_due(self, now_ms: float) -> None:
-        """Decide the suspicions whose time is before ``now_ms``."""
+        """Resolve the suspicions that were due before ``now_ms``."""
         while self._suspicions and self._suspicions[0].until_ms < now_ms:
             self._settle(self._suspicions.popleft(), now_ms)
 
     def settle_all(self, now_ms: float) -> None:
-        """Decide every suspicion at the end of a replay."""
+        """Resolve every suspicion at the end of a replay."""
         while self._suspicions:
             self._settle(self._suspicions.popleft(), now_ms)
 
--- a/umberusher/checker/checker.py
+++ b/umberusher/checker/checker.py
@@ -1,8 +1,8 @@
-"""An independent checker of the platform's rules, which knows nothing of the broker.
+"""An independent checker of the platform's rules, which uses no code or state of the broker.
 
-It is fed what crossed the sockets, in order (:mod:`events`). Times are ms since the replay's start.
-What looks wrong for less than the slack of the sockets is held as a suspicion and dropped if it
-clears up.
+It receives the traffic on the sockets as events, in order (:mod:`events`). Times are ms since the
+replay's start. What looks like a breach for less than ``SLACK_MS`` is held as a suspicion and
+dropped if it clears up, since two sockets are read one after the other.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Checker:
-    """Take each event with its time, hash it, and pass it to the rules."""
+    """Hashes each event with its time and passes it to the handlers of the rules."""
 
     def __init__(self, settings: RuleSettings, keep_log: bool = False) -> None:
         """Create a checker.
@@ -80,7 +80,7 @@
         }
 
     def feed(self, at_ms: float, kind: str, *values: EventValue) -> None:
-        """Take one event; ``at_ms`` must not go back."""
+        """Process one event; ``at_ms`` must not decrease."""
         line = json.dumps([round(at_ms, 3), kind, *values], separators=(",", ":"))
         self._hash.update(line.encode() + b"\n")
         if self.log is not None:
@@ -90,7 +90,7 @@
         self._handlers[kind](at_ms, *values)
 
     def finish(self, at_ms: float) -> None:
-        """End the replay: a request that is open now has never been answered."""
+        """End the replay: resolve the suspicions and record the requests that are still open."""
         self.breaches.settle_all(at_ms)
         self._clients.check_all_answered(at_ms)
 
@@ -101,12 +101,12 @@
 
     @property
     def max_late_start_ms(self) -> float:
-        """How far beyond its client's deadline work has started, at most."""
+        """The longest time after its client's deadline at which work has started."""
         return self._engines.max_late_start_ms
 
 
 def check_log(settings: RuleSettings, lines: Iterable[str]) -> Checker:
-    """Check an event log that was kept; return the checker that read it."""
+    """Check a recorded event log; return the checker that processed it."""
     checker = Checker(settings)
     at_ms = 0.0
     for line in lines:
--- a/umberusher/checker/client_rules.py
+++ b/umberusher/checker/client_rules.py
@@ -1,4 +1,4 @@
-"""Rules that are seen at the clients: one final answer, in time, with what an engine made."""
+"""Rules that are observed at the clients: one final answer, in time, with an engine's result."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ClientRules:
-    """Handlers of the events at the clients; the methods take the values of their event."""
+    """Handlers of the events at the clients; each method receives its event's values."""
 
     __slots__ = ("_breaches", "_counts", "_key_order", "_requests", "_retry_budget", "_settings")
 
@@ -44,7 +44,7 @@
         budget_ms: float,
         _retry: str,
     ) -> None:
-        """Open a request; one that crossed a close is sent again on a new connection."""
+        """Open a request; count it as resent if it was open and crossed a connection's close."""
         self._counts[Count.REQUESTS_SENT] += 1
         if request_id in self._requests.by_id:
             self._counts[Count.RESENT_AFTER_CLOSE] += 1
@@ -93,10 +93,14 @@
         """Count an answer that crossed its client's interrupt."""
         self._counts[Count.ANSWERS_CROSSED] += 1
 
-    def on_unexpected_answer(self, now_ms: float, broker: str, what: str, outcome: str) -> None:
-        """Record an answer to nothing that was open."""
+    def on_unexpected_answer(
+        self, now_ms: float, broker: str, call_description: str, outcome: str
+    ) -> None:
+        """Record an answer that belongs to no open request."""
         self._breaches.record(
-            Rule.ANSWERED_ONCE, now_ms, f"{broker}: a second answer, {outcome}, to {what}"
+            Rule.ANSWERED_ONCE,
+            now_ms,
+            f"{broker}: a second answer, {outcome}, to {call_description}",
         )
 
     def on_request_lost(self, now_ms: float, _broker: str, request_id: str) -> None:
@@ -111,7 +115,7 @@
             )
 
     def on_unreadable(self, now_ms: float, broker: str, reason: str) -> None:
-        """Record bytes that are no answer."""
+        """Record bytes that can't be decoded as an answer."""
         self._breaches.record(Rule.ANSWERED_ONCE, now_ms, f"{broker}: unreadable: {reason}")
 
     def check_all_answered(self, now_ms: float) -> None:
@@ -125,7 +129,7 @@
                 )
 
     def remove_settled(self, request_id: str, request: ObservedRequest, now_ms: float) -> None:
-        """Have a settled request forgotten after a while, and advance its key queue."""
+        """Schedule the removal of a settled request, and advance its key queue."""
         if request.settled:
             self._requests.schedule_removal(request_id, now_ms)
             self._key_order.remove_settled(request, now_ms)
--- a/umberusher/checker/counts.py
+++ b/umberusher/checker/counts.py
@@ -1,4 +1,4 @@
-"""What a checker counts besides breaches and the outcomes of requests."""
+"""The counters of a checker besides those of breaches and of the outcomes of requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Count(StrEnum):
-    """A figure of a replay as seen on the sockets."""
+    """A counter of a replay, as observed on the sockets and at the engines."""
 
     REQUESTS_SENT = "requests sent"
     RESENT_AFTER_CLOSE = "resent after close"
--- a/umberusher/checker/engine_rules.py
+++ b/umberusher/checker/engine_rules.py
@@ -1,4 +1,4 @@
-"""Rules that are seen at the engines: who may be sent what and when, and what runs how often."""
+"""Rules that are observed at the engines: what may be sent to them when, and how often it runs."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from umberusher.checker.retry_budget import RetryBudget
 from umberusher.checker.settings import SLACK_MS, RuleSettings
 
-LATE_START_MS = 0.5  # after its client's deadline, from which work has begun too late
+LATE_START_MS = 0.5  # after its client's deadline; work that starts later counts as late
 HIGHEST_PRIORITY = 3
-NEVER_RAN_WORDS = ("SHED", "LATE")  # engine's answers that prove that nothing ran
-SERVING = "SERVING"  # the state in which an engine takes new requests
+NEVER_RAN_WORDS = ("SHED", "LATE")  # engine answers that prove that the request did not run
+SERVING = "SERVING"  # the state in which an engine accepts new requests
 
 RemoveSettled = Callable[[str, ObservedRequest, float], None]
 
 
 class EngineRules:
-    """Handlers of the events at the engines; the methods take the values of their event."""
+    """Handlers of the events at the engines; each method receives its event's values."""
 
     __slots__ = (
         "_breaches",
@@ -52,13 +52,13 @@
         self._breaches = breaches
         self._counts = counts
         self._remove_settled = remove_settled
-        # By broker and engine: when the broker was notified that nothing goes there any more.
+        # By broker and engine: when the broker was notified that the engine accepts no requests.
         self._not_serving_since_ms: dict[tuple[str, str], float] = {}
-        # How far beyond its client's deadline work has started, at most.
+        # The longest time after its client's deadline at which work has started.
         self.max_late_start_ms = 0.0
 
     def on_notified(self, now_ms: float, broker: str, engine: str, state: str) -> None:
-        """Note whether a broker may send to an engine."""
+        """Record whether a broker may send requests to an engine."""
         if state == SERVING:
             self._not_serving_since_ms.pop((broker, engine), None)
         else:
@@ -120,9 +120,9 @@
     def on_attempt_read_slowly(
         self, now_ms: float, engine: str, connection_id: int, request_id: str, _lane: str, _ttl: int
     ) -> None:
-        """Note an attempt that lay in a slow reader's buffer.
+        """Count an attempt that waited in a slow reader's buffer.
 
-        The rules are about sending; when that was is not known here.
+        The rules limit the time of sending, which is not known here, so they are not checked.
         """
         self._counts[Count.ATTEMPTS] += 1
         request = self._requests.get(request_id)
@@ -145,7 +145,7 @@
         page_count: int,
         digest: str,
     ) -> None:
-        """Note an engine's answer; a result of several pages is in flight until its last one."""
+        """Record an engine's answer; a result of several pages is in flight until its last page."""
         found = self._requests.find_attempt(engine, connection_id, request_id)
         if found is None:
             return
@@ -168,7 +168,7 @@
     def on_attempt_cancelled(
         self, now_ms: float, engine: str, connection_id: int, request_id: str
     ) -> None:
-        """End a cancelled attempt; its work may go on."""
+        """End a cancelled attempt; its work may continue."""
         self._counts[Count.CANCELS] += 1
         self._abandon_attempt(now_ms, engine, connection_id, request_id)
 
@@ -181,7 +181,7 @@
             self._end_attempt(now_ms, request_id, found.request, found.attempt)
 
     def on_connection_closed(self, now_ms: float, engine: str, connection_id: int) -> None:
-        """End the attempts of a connection; their work may go on."""
+        """End the attempts of a connection; their work may continue."""
         for request_id in self._requests.close_connection(engine, connection_id):
             self._abandon_attempt(now_ms, engine, connection_id, request_id)
 
@@ -194,8 +194,8 @@
         request.work_start_count += 1
         self._counts[Count.WORK_STARTED] += 1
         if now_ms > request.deadline_ms + LATE_START_MS:
-            # No breach of the platform's rules, which leave it to the engine; the deadlines'
-            # page promises it.
+            # This is no breach of the platform's rules, which leave it to the engine; the page on
+            # deadlines promises that it doesn't happen, so it is counted.
             self._counts[Count.WORK_STARTED_LATE] += 1
             self.max_late_start_ms = max(self.max_late_start_ms, now_ms - request.deadline_ms)
         is_non_idempotent = request.query_class in self._settings.non_idempotent
@@ -287,5 +287,5 @@
 
 
 def _ended_before(request: ObservedRequest, now_ms: float) -> bool:
-    """Return whether the request ended, the slack of the sockets ago."""
+    """Return whether the request ended more than ``SLACK_MS`` ago."""
     return request.outcome is not None and now_ms > request.ended_at_ms + SLACK_MS
--- a/umberusher/checker/events.py
+++ b/umberusher/checker/events.py
@@ -1,8 +1,8 @@
-"""The events that a checker is fed: what crossed a stand-in's socket, and what an engine worked on.
+"""The events that a checker receives: the traffic on the stand-ins' sockets, and engines' work.
 
-An event is a kind and its values in a fixed order. The values of the members are the words of the
-event log, which is kept on disk and hashed; they never change. The comment beside a member names
-the event's values.
+An event is a kind and its values in a fixed order. The values of the members are written to the
+event log, which is stored and hashed, so they must not change. The docstring of a member names the
+event's values.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 
 
 class EventKind(StrEnum):
-    """What happened."""
+    """The kinds of events."""
 
-    # Discovery service: BROKER ENGINE STATE
+    # Discovery service
     NOTIFIED = "told"
-    """A watch event went out to a broker."""
+    """BROKER ENGINE STATE: a watch event was sent to a broker."""
 
     # Clients
     REQUEST_SENT = "ask"
-    """BROKER ID CLASS KEY BUDGET RETRY: the last byte of a request is with the kernel."""
+    """BROKER ID CLASS KEY BUDGET RETRY: the last byte of a request was passed to the kernel."""
     ANSWERED = "answer"
     """BROKER ID OUTCOME DIGEST RETRY_AFTER: the answer was read."""
     CLIENT_GAVE_UP = "left"
     """BROKER ID OUTCOME: the client interrupted the request (expired or disconnected)."""
     ANSWER_CROSSED = "crossed"
-    """BROKER ID OUTCOME: an answer came after the interrupt."""
+    """BROKER ID OUTCOME: an answer arrived after the interrupt."""
     UNEXPECTED_ANSWER = "second"
-    """BROKER WHAT OUTCOME: an answer to nothing that was open."""
+    """BROKER WHAT OUTCOME: an answer that belongs to no open request."""
     REQUEST_LOST = "lost"
     """BROKER ID: the connection ended without an answer."""
     UNREADABLE = "unreadable"
-    """BROKER REASON: bytes that are no answer."""
+    """BROKER REASON: bytes that can't be decoded as an answer."""
 
     # Engines
     ATTEMPT_READ = "req"
@@ -56,13 +56,13 @@
     WORK_ENDED = "ended"
     """ENGINE ID WANTED: the engine's own record that the work ended."""
     HEALTH_CHECK_READ = "probed"
-    """ENGINE WORD: a health check came where none is allowed."""
+    """ENGINE WORD: a health check was read where none is allowed."""
     PRIORITY_SET = "ranked"
     """ENGINE ID PRIORITY PREVIOUS SUPPORTED: a priority, with the one that it replaces if any."""
 
 
 class Outcome(StrEnum):
-    """What became of a client's call; the values stand in event logs and result files."""
+    """The outcome of a client's call; the values are written to event logs and result files."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -74,7 +74,7 @@
 
 
 class EventSink(Protocol):
-    """Receives what crosses the sockets, in order."""
+    """Receives the events of the stand-ins, in order."""
 
     def __call__(self, kind: EventKind, /, *values: EventValue) -> None:
-        """Take one event."""
+        """Process one event."""
--- a/umberusher/checker/key_order.py
+++ b/umberusher/checker/key_order.py
@@ -1,4 +1,7 @@
-"""The rule that requests of one order key run one after another, with a cool-down after a doubt."""
+"""The rule that requests of one order key run one after another.
+
+An attempt that may still run after it has ended starts a cool-down of its key.
+"""
 
 from __future__ import annotations
 
@@ -8,14 +11,14 @@
 from umberusher.checker.requests import ObservedRequest, RequestTable
 from umberusher.checker.settings import SLACK_MS, RuleSettings
 
-MAX_COOL_DOWNS = 4_096  # above which those that have passed are removed
+MAX_COOL_DOWNS = 4_096  # above which those that have ended are removed
 
 OrderKey = tuple[str, str]
 """A broker and a key: each broker keeps the order of its own requests."""
 
 
 class KeyOrder:
-    """Queues of the requests of a key, and the keys that cool down."""
+    """The queue of the requests of each key, and the cool-downs of keys."""
 
     __slots__ = ("_breaches", "_requests", "_settings", "cool_downs", "queues")
 
@@ -24,7 +27,7 @@
         self._requests = requests
         self._breaches = breaches
         self.queues: dict[OrderKey, deque[str]] = {}
-        # Until when a key cools down, ms.
+        # When each key's cool-down ends, ms since the replay's start.
         self.cool_downs: dict[OrderKey, float] = {}
 
     def applies_to(self, request: ObservedRequest) -> bool:
@@ -32,7 +35,7 @@
         return request.query_class in self._settings.ordered and bool(request.order_key)
 
     def append(self, request_id: str, request: ObservedRequest) -> None:
-        """Queue a request that has to keep an order behind those of its key."""
+        """Append a request that has to keep an order to its key's queue."""
         if self.applies_to(request):
             self.queues.setdefault(_key(request), deque()).append(request_id)
 
@@ -53,7 +56,7 @@
                     lambda other=other: other.settled,  # type: ignore[misc]
                 )
         cool_down_ms = self.cool_downs.get(key)
-        # The request whose own attempt is unresolved has the turn, and may be retried at once.
+        # A request with an unresolved attempt of its own may be retried during the cool-down.
         if cool_down_ms is None or request.unresolved_at_ms is not None:
             return
         if now_ms < cool_down_ms - SLACK_MS:
@@ -64,7 +67,7 @@
             )
 
     def start_cool_down(self, request: ObservedRequest, now_ms: float) -> None:
-        """Let the key rest after an attempt that may still run."""
+        """Start the key's cool-down after an attempt that may still run."""
         if self.applies_to(request):
             key = _key(request)
             until_ms = now_ms + self._settings.key_cool_down_ms
--- a/umberusher/checker/request_model.py
+++ b/umberusher/checker/request_model.py
@@ -1,14 +1,15 @@
-"""A model of the life of one request: which states it may take, and what must hold in each.
-
-The model knows nothing of the broker's code. Its states are explicit and few, so that
-:func:`explore` visits all of them, breadth first. The same walk gives all traces up to a depth
-(:func:`traces`), which are then played against the real stages (tests/upstream/
-test_request_life.py, scripts/explore_life.py).
-
-A state is what is seen from outside: where the request is, what its client got, how often it was
-sent and whether it may have run. An event is something that an engine, a client, the discovery
-service or time does. What the broker decides (one more attempt, or which final answer) is open in
-the model: an event leads to several states, of which the real program takes one.
+"""A model of the lifecycle of one request: its possible states, and the invariants of its steps.
+
+The model is independent of the broker's code. Its states are explicit and few, so that
+:func:`explore` visits all of them, breadth first. The same steps give all traces up to a depth
+(:func:`traces`), which are then played against the real components of the broker
+(tests/upstream/test_request_life.py, scripts/explore_life.py).
+
+A state holds what can be observed from outside: the request's phase, its final outcome, the number
+of its attempts and whether one may have run. An event is an action of an engine, a client or the
+discovery service, or the passing of time. The model doesn't fix the broker's decisions (one more
+attempt, or which final answer): an event leads to several states, and the real broker enters one of
+them.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 from umberusher.checker.events import Outcome
 
 MAX_ATTEMPTS = 6
-"""Attempts of a request, as the settings allow."""
+"""Attempts of a request that the settings allow."""
 
 
 class Phase(Enum):
-    """Where a request is."""
+    """The phases of a request."""
 
     QUEUED = "queued"
     SENT = "sent"
@@ -34,7 +35,7 @@
 
 
 class Event(StrEnum):
-    """What an engine, a client, the discovery service or time does."""
+    """An action of an engine, a client or the discovery service, or the passing of time."""
 
     FULLY_SENT = "fully_sent"
     RESULT = "result"
@@ -54,7 +55,7 @@
 
 
 UNREPEATED_EVENTS = (Event.STALL, Event.ENGINE_DRAINING, Event.SECOND_ANSWER)
-"""Events that change nothing when they come twice in a row; traces hold them once."""
+"""Events that change nothing when they are repeated; traces never contain them twice in a row."""
 
 EVENTS_AFTER_END = (
     Event.SECOND_ANSWER,
@@ -66,10 +67,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestState:
-    """Where a request stands.
+    """The state of a request.
 
     Attributes:
-        outcome: The final answer, or that the client has gone; None while something is owed.
+        outcome: The final answer, or that the client disconnected; None while neither has happened.
         attempt_count: How often it was sent.
         may_have_run: An attempt that has ended may have run.
         current_may_have_run: The attempt that is in flight may have run.
@@ -84,7 +85,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing is owed any more."""
+        """Whether the request has its final outcome."""
         return self.phase is Phase.ENDED
 
     @property
@@ -169,7 +170,7 @@
     if event is Event.SHED:
         return _fail_attempt(state, may_have_run=False)
     if event is Event.EXPIRED_AT_ENGINE:
-        # By the engine's word it never ran; it is answered, not retried.
+        # The engine states that the request never ran; it is answered, not retried.
         never_ran = replace(state, current_may_have_run=False)
         return _end(never_ran, Outcome.FAILED, Outcome.REJECTED)
     return set()
@@ -186,17 +187,17 @@
 
 
 def step(state: RequestState, event: Event) -> States:
-    """Return the states that an event may lead to; empty where it can't happen there."""
+    """Return the states that an event may lead to; empty where it can't occur."""
     if state.ended:
         return _step_ended(state, event)
     if event is Event.DEADLINE:
-        # Pages that stop are given up long before the deadline (PAGES_STOPPED), so that it
-        # can't find them under way.
+        # A result whose pages stop is abandoned long before the deadline (PAGES_STOPPED), so
+        # that no pages are being received at the deadline.
         return set() if state.phase is Phase.RECEIVING_PAGES else _expire(state)
     if event in (Event.CLIENT_DISCONNECTED, Event.CLIENT_INTERRUPTED):
         return _disconnect(state)
     if event is Event.STALL:
-        # What waits may be rejected once time has passed.
+        # A waiting request may be rejected once time has passed.
         return {state} | _expire(state) if state.waiting else {state}
     if state.waiting:
         return _step_waiting(state, event)
@@ -211,9 +212,9 @@
     if problem is not None:
         return problem
     if after.outcome is Outcome.REJECTED and after.non_idempotent and after.may_have_run:
-        return "refused what may have run"
+        return "rejected a request that may have run"
     if before.may_have_run and not after.may_have_run:
-        return "what may have run called never-run"
+        return "a request that may have run is marked as never run"
     return None
 
 
@@ -223,7 +224,7 @@
     if before.outcome is not None and after.outcome != before.outcome:
         return "two final answers"
     if after.ended and after.outcome is None:
-        return "over without a final answer"
+        return "ended without a final answer"
     return None
 
 
@@ -231,7 +232,7 @@
     if before.ended:
         return "sent after the end"
     if not before.waiting:
-        return "two attempts out"
+        return "two attempts in flight"
     if before.non_idempotent and before.may_have_run:
         return "sent again what must run once"
     return None
@@ -249,7 +250,7 @@
 
 @dataclass(slots=True)
 class Exploration:
-    """What a walk over all states found."""
+    """The result of a search over all states."""
 
     state_count: int = 0
     step_count: int = 0
@@ -261,7 +262,7 @@
 
 
 def explore(stepper: Stepper = step) -> Exploration:
-    """Walk over all states that can be reached, to the full depth."""
+    """Visit all reachable states, breadth first."""
     exploration = Exploration()
     frontier = {RequestState(non_idempotent) for non_idempotent in (False, True)}
     seen = set(frontier)
@@ -278,7 +279,7 @@
 
 
 def _explore_state(state: RequestState, stepper: Stepper, exploration: Exploration) -> States:
-    """Take every step from one state; return where they lead."""
+    """Check every step from one state; return the states that the steps lead to."""
     reached: States = set()
     for event in Event:
         for after in stepper(state, event):
@@ -291,7 +292,7 @@
 
 
 def traces(depth: int, non_idempotent: bool) -> Iterator[tuple[Event, ...]]:
-    """Yield all orders of events up to a depth that can happen; none is a prefix of another."""
+    """Yield all possible sequences of events up to a depth; none is a prefix of another."""
     yield from _extend({RequestState(non_idempotent)}, (), depth)
 
 
--- a/umberusher/checker/requests.py
+++ b/umberusher/checker/requests.py
@@ -1,6 +1,7 @@
-"""Requests and their attempts as seen on the sockets.
+"""Requests and their attempts as observed on the sockets.
 
-The table forgets a request some time after it has ended, so that memory follows what is open.
+The table removes a request some time after it has ended, so that its memory depends on the open
+requests alone.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from umberusher.checker.events import Outcome
 
 RETENTION_MS = 2_000.0
-"""For which an ended request is still known: a line may cross its end."""
+"""Time for which an ended request is kept: a protocol line may cross its end."""
 
 
 @dataclass(slots=True)
@@ -52,7 +53,7 @@
 
     @property
     def settled(self) -> bool:
-        """Whether nothing more is owed and nothing is in flight."""
+        """Whether it has its outcome and no attempt is in flight, except at slow readers."""
         if self.outcome is None:
             return False
         return not any(each.in_flight and not each.read_slowly for each in self.attempts)
@@ -87,11 +88,11 @@
         return self.by_id.get(request_id)
 
     def schedule_removal(self, request_id: str, now_ms: float) -> None:
-        """Forget an ended request after the retention time."""
+        """Remove an ended request after the retention time."""
         self._ended.append((now_ms + RETENTION_MS, request_id))
 
     def remove_expired(self, now_ms: float) -> None:
-        """Forget the requests whose retention ended before ``now_ms``."""
+        """Remove the requests whose retention ended before ``now_ms``."""
         while self._ended and self._ended[0][0] < now_ms:
             _, request_id = self._ended.popleft()
             self.by_id.pop(request_id, None)
@@ -113,12 +114,12 @@
         return None
 
     def remove_in_flight(self, request_id: str, attempt: ObservedAttempt) -> None:
-        """Take an ended attempt off its connection."""
+        """Remove an ended attempt from its connection."""
         attempt.in_flight = False
         in_flight = self._in_flight.get((attempt.engine, attempt.connection_id))
         if in_flight:
             in_flight.pop(request_id, None)
 
     def close_connection(self, engine: str, connection_id: int) -> list[str]:
-        """Forget a connection; return the requests that were in flight on it, in order."""
+        """Remove a connection; return the requests that were in flight on it, in order."""
         return list(self._in_flight.pop((engine, connection_id), {}))
--- a/umberusher/checker/retry_budget.py
+++ b/umberusher/checker/retry_budget.py
@@ -20,7 +20,7 @@
         self._retries_ms: dict[str, deque[float]] = {}
 
     def add_request(self, broker: str, now_ms: float) -> None:
-        """Count a request, which widens the budget."""
+        """Count a request, which increases the budget."""
         times_ms = self._requests_ms.setdefault(broker, deque())
         times_ms.append(now_ms)
         self._remove_old(times_ms, now_ms)
--- a/umberusher/standin/__init__.py
+++ b/umberusher/standin/__init__.py
@@ -1,6 +1,6 @@
-"""Stand-ins for what a broker talks to: engines, the discovery service, clients.
+"""Stand-ins for the peers of a broker: engines, the discovery service and clients.
 
-They know nothing of the broker's insides: all are written from the protocol's page, run on loopback
-and end by themselves. Their codecs are their own, so that a fault in the broker's is not mirrored
-here.
+They are independent of the broker's internals: all are written from the protocol's page, run on
+loopback and end by themselves. They have codecs of their own, so that a fault in the broker's
+codecs is not mirrored here.
 """
--- a/umberusher/standin/answer_writer.py
+++ b/umberusher/standin/answer_writer.py
@@ -9,7 +9,7 @@
 
 
 class AnswerWriter:
-    """The answers of one incarnation of an engine; holds them while it is unresponsive."""
+    """Writes the answers of one incarnation of an engine, or withholds them by a fault."""
 
     __slots__ = ("_faults", "_loop", "_withheld")
 
@@ -30,7 +30,7 @@
             connection.transport.send(RawMessage(data))
 
     def write_result(self, connection: EngineConnection, data: bytes) -> None:
-        """Write a line with a page; a fault may cut it and reset the connection."""
+        """Write a line with a page; a fault may truncate it and reset the connection."""
         cut_after_bytes = self._faults.cut_result_after_bytes
         if cut_after_bytes is None:
             self.write(connection, data)
@@ -40,7 +40,7 @@
         connection.reset()
 
     def resume_answers(self) -> None:
-        """End an unresponsive phase: what was held goes out."""
+        """End an unresponsive phase and send the withheld answers."""
         self._faults.unresponsive = False
         withheld = self._withheld
         self._withheld = []
--- a/umberusher/standin/client_connection.py
+++ b/umberusher/standin/client_connection.py
@@ -13,7 +13,7 @@
 from umberusher.standin.thrift_client import Answer, AnswerKind, UnreadableAnswerError
 
 CallDone = Callable[[Outcome, Answer | None], None]
-"""Takes what became of a call, and its answer if there is one."""
+"""Called with the outcome of a call, and its answer if there is one."""
 
 
 @dataclass(slots=True, eq=False)
@@ -22,10 +22,10 @@
 
     Attributes:
         budget_ms: Time from sending to the client's deadline.
-        done: Called once with what became of it.
-        disconnect_after_ms: When the client gives up before its deadline; None if it doesn't.
-        sent_at_ms: When the last byte was with the kernel; None before.
-        resent: It crossed a close and went again over another connection.
+        done: Called once with its outcome.
+        disconnect_after_ms: Time from sending until the client disconnects; None if it doesn't.
+        sent_at_ms: When the last byte was passed to the kernel; None before.
+        resent: It crossed a close and was sent again over another connection.
     """
 
     request_id: str
@@ -42,29 +42,29 @@
 
 
 class ConnectionOwner(Protocol):
-    """What the connection reports to."""
+    """Receives the events of a connection."""
 
     def on_call_sent(self, call: Call, /) -> None:
-        """The last byte of a call is with the kernel."""
+        """The last byte of a call has been passed to the kernel."""
 
     def on_answer(self, call: Call, answer: Answer, /) -> None:
-        """An open call got its answer."""
+        """An open call received its answer."""
 
     def on_unexpected_answer(self, connection: ClientConnection, answer: Answer, /) -> None:
-        """An answer came to nothing that is open."""
+        """An answer arrived that belongs to no open call."""
 
     def on_check_answer(self, ready: bool, /) -> None:
-        """The broker said whether it is ready."""
+        """The broker reported whether it is ready."""
 
     def on_unreadable(self, reason: str, /) -> None:
-        """The broker sent bytes that are no answer."""
+        """The broker sent bytes that can't be decoded as an answer."""
 
     def on_closed(self, connection: ClientConnection, /) -> None:
         """The connection has ended."""
 
 
 class _CallMessage:
-    """A call as a message, which tells the owner when its last byte is with the kernel."""
+    """A call as a message, which notifies the owner when the kernel has its last byte."""
 
     __slots__ = ("_call", "_owner")
 
@@ -73,17 +73,17 @@
         self._call = call
 
     def encode(self) -> bytes:
-        """Return its bytes."""
+        """Return the encoded call."""
         call = self._call
         return thrift_client.encode_execute(call.sequence_id, call.fields, call.body)
 
     def written(self) -> None:
-        """Report that it is sent."""
+        """Report that the call is sent."""
         self._owner.on_call_sent(self._call)
 
 
 class ClientConnection:
-    """One connection."""
+    """One connection, which matches answers to open calls by their sequence numbers."""
 
     def __init__(self, owner: ConnectionOwner, transport: Connection) -> None:
         self.transport = transport
@@ -107,7 +107,7 @@
         self.transport.send(_CallMessage(self._owner, call))
 
     def send_check(self) -> None:
-        """Ask whether the broker is ready."""
+        """Send a check whether the broker is ready."""
         self.transport.send(RawMessage(thrift_client.encode_check(self._next_sequence_id())))
 
     def send_interrupt(self, call: Call) -> None:
--- a/umberusher/standin/client_pool.py
+++ b/umberusher/standin/client_pool.py
@@ -1,7 +1,7 @@
-"""Stand-in clients of one broker: their connections, open calls, and deadlines kept by interrupts.
+"""Stand-in clients of one broker: connections, open calls, and deadlines enforced by interrupts.
 
-The pool reports what was written and read to an event sink, and the outcome of each call to its
-caller, once.
+The pool reports the requests written and the answers read to an event sink, and the outcome of each
+call to its caller, once.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from umberusher.standin.thrift_client import MAX_FRAME_BYTES, Answer, AnswerKind
 
 MAX_OPEN_CALLS = 32
-"""Calls of one connection that the protocol allows."""
+"""Open calls that the protocol allows on one connection."""
 TARGET_OPEN_CALLS = 20
-"""Calls of one connection above which another one is opened."""
+"""Open calls on each connection from which another connection is opened."""
 CROSSED_CLOSE_MS = 50.0
 """A call that is sent within this time before a close is sent again, once."""
 MAX_REMEMBERED_INTERRUPTS = 4_096
-"""Bounds the memory of interrupted calls: most are never answered."""
+"""Bounds the interrupted calls that are remembered: most are never answered."""
 
 _OUTCOMES = {
     AnswerKind.SERVED: Outcome.SERVED,
@@ -63,7 +63,7 @@
         return connection
 
     def send_check(self) -> None:
-        """Ask whether the broker is ready; ``ready`` tells when the answer has come."""
+        """Send a check whether the broker is ready; its answer sets ``ready``."""
         connection = next(iter(self.connections), None) or self.connect()
         if connection:
             connection.send_check()
@@ -92,7 +92,7 @@
     # -- Reports of the connections
 
     def on_call_sent(self, call: Call) -> None:
-        """Start the time of a call."""
+        """Report a sent call and start its timer."""
         call.sent_at_ms = self._now_ms()
         self._sink(
             EventKind.REQUEST_SENT,
@@ -110,11 +110,11 @@
             call.timer = self._loop.call_later(ends_after_ms, lambda: self._interrupt(call))
 
     def on_check_answer(self, ready: bool) -> None:
-        """Note whether the broker is ready."""
+        """Store whether the broker is ready."""
         self.ready = ready
 
     def on_answer(self, call: Call, answer: Answer) -> None:
-        """Take the one answer of a call."""
+        """End a call with its answer."""
         self.open_count -= 1
         if call.timer:
             call.timer.cancel()
@@ -130,7 +130,7 @@
         call.done(_OUTCOMES[answer.kind], answer)
 
     def on_unexpected_answer(self, connection: ClientConnection, answer: Answer) -> None:
-        """Report an answer to nothing that is open: it crossed an interrupt, or is a second one."""
+        """Report an answer to no open call: it crossed an interrupt, or it is a second one."""
         request_id = self._interrupted.pop((id(connection), answer.sequence_id), None)
         if request_id:
             self._sink(EventKind.ANSWER_CROSSED, self._broker, request_id, answer.kind.value)
@@ -143,11 +143,11 @@
             )
 
     def on_unreadable(self, reason: str) -> None:
-        """Report bytes that are no answer."""
+        """Report bytes that can't be decoded as an answer."""
         self._sink(EventKind.UNREADABLE, self._broker, reason)
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """End the calls of a closed connection; what crossed the close is sent again."""
+        """End the calls of a closed connection; those that crossed the close are sent again."""
         self.connections.pop(connection, None)
         for key in [key for key in self._interrupted if key[0] == id(connection)]:
             del self._interrupted[key]
@@ -191,7 +191,7 @@
 
 
 def free_address() -> tuple[str, int]:
-    """Return an address that was free a moment ago."""
+    """Return a loopback address whose port was free when it was checked."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         host, port = sock.getsockname()
--- a/umberusher/standin/clock.py
+++ b/umberusher/standin/clock.py
@@ -1,8 +1,8 @@
-"""A loop with simulated time, on which all parties of a replay come out the same each time.
+"""A loop with simulated time, on which all parties of a replay behave the same each time.
 
-Its clock stands still while anything is ready. Sockets are real: what is ready is asked of the
-kernel. Loopback delivers within the sender's call, so two empty polls in a row say that nothing is
-under way, and only then the clock moves on to the next timer.
+Its clock stands still while any descriptor is ready. Sockets are real, and the kernel is polled for
+readiness. Loopback delivers within the sender's call, so two empty polls in a row show that no data
+is in transit, and only then does the clock advance to the next timer.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from umberusher.net.loop import Loop
 
 EPOCH_S = 1_000_000.0
-"""Where the clock starts; small enough that a float tells a tenth of a nanosecond."""
+"""Start of the clock; small enough that a float resolves a tenth of a nanosecond."""
 
 MAX_POLLED_EVENTS = 1 << 14
-"""Of one poll, all that is ready: a part of it would be the kernel's choice."""
+"""Events of one poll, enough for all ready descriptors: the kernel would choose a part of them."""
 
 
 class StepLoop(Loop):
@@ -24,30 +24,30 @@
     def __init__(self, start_s: float = EPOCH_S) -> None:
         self.now = start_s
         super().__init__(lambda: self.now)
-        # By descriptor: its place in the order, by its first watching.
+        # By descriptor: its position in the order of processing, given when it is first watched.
         self._serials: dict[int, int] = {}
         self._next_serial = itertools.count()
         self.steps = 0
 
     def unix(self) -> float:
-        """Return the same clock, where Unix time is asked for."""
+        """Return the simulated time in place of Unix time."""
         return self.now
 
     def watch(self, fd: int, events: int) -> None:
-        """Watch a descriptor, whose place in the order is that of its first watching."""
+        """Watch a descriptor; the first call sets its position in the order of processing."""
         if fd not in self._serials:
             self._serials[fd] = next(self._next_serial)
         super().watch(fd, events)
 
     def unregister(self, fd: int) -> None:
-        """Forget a descriptor; its number may be given out again, for something else."""
+        """Remove a descriptor; the kernel may reuse its number for another file."""
         self._serials.pop(fd, None)
         super().unregister(fd)
 
     def step(self, longest_ms: float = 1000.0) -> None:
-        """Run what is ready in a stated order, or move the clock on to the next timer."""
+        """Resume what is ready in a fixed order, or advance the clock to the next timer."""
         ready = self._poll() or self._poll()
-        self.oldest_input_at_s = self.now  # nothing comes while the clock stands still
+        self.oldest_input_at_s = self.now  # no input arrives while the clock stands still
         if ready:
             self._resume_ready(ready)
         else:
--- a/umberusher/standin/deployment.py
+++ b/umberusher/standin/deployment.py
@@ -1,4 +1,4 @@
-"""What a deployment of engines allows and reports, where deployments differ."""
+"""The terms of a deployment of engines: what it allows and reports, where deployments differ."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
     """The terms of one deployment.
 
     Attributes:
-        health_checks: Whether engines may be sent health checks; else answers alone tell the load.
+        health_checks: Whether engines accept health checks; else they report their load in answers.
         priorities: Whether priorities have an effect.
-        cost_in_answers: Whether answers tell work and memory.
+        cost_in_answers: Whether answers report work and memory.
         retry_budget_ratio: Retries per request of the window.
         overload_multiple: Load beyond which an engine may collapse.
         overload_window_ms: Time over which that load counts.
-        progress_interval_ms: How often an engine tells of an attempt that is in flight.
-        runaway_fraction: Fraction of the attempts of reports that get a bad query plan.
-        tenant_quotas: Tenants and their requests a second, of all brokers.
+        progress_interval_ms: How often an engine reports the progress of an attempt in flight.
+        runaway_fraction: Fraction of the attempts of class ``report`` that get a bad query plan.
+        tenant_quotas: Tenants and their quotas, requests/s over all brokers.
     """
 
     health_checks: bool = True
--- a/umberusher/standin/discovery_service.py
+++ b/umberusher/standin/discovery_service.py
@@ -1,6 +1,6 @@
 """A stand-in discovery service: numbered watch events over a long poll, HTTP/1.1 by h11.
 
-There is one listener for each broker. An event that goes out is reported to an event sink.
+There is one listener for each broker. Each event that is sent is reported to an event sink.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 MAX_LINGER_MS = 5_000
 """The longest time for which a poll is held open."""
 PUBLICATION_DELAY_MS = 800.0
-"""Between a change and the watch event that tells of it."""
+"""Delay between a change and the watch event that announces it."""
 LISTEN_BACKLOG = 16
 INBOUND_BYTES = 1 << 16
 OUTBOUND_BYTES = 1 << 22
 
 EndpointEntry = dict[str, Any]
-"""One line of the endpoint list, as its JSON."""
+"""One entry of the endpoint list, as JSON."""
 
 
 class ListedEngine(Protocol):
-    """What an endpoint list tells of an engine."""
+    """The attributes of an engine in an endpoint list."""
 
     name: str
     zone: str
@@ -41,7 +41,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address on which it listens."""
 
 
 class DiscoveryService:
@@ -58,7 +58,7 @@
         self._polls: dict[PollConnection, None] = {}
 
     def entry(self, engine: ListedEngine, state: str, started_s: float = 0.0) -> EndpointEntry:
-        """Return the line of the endpoint list for an engine in a state."""
+        """Return the entry of the endpoint list for an engine in a state."""
         host, port = engine.address
         return {
             "instanceId": engine.name,
@@ -74,7 +74,7 @@
     def publish(
         self, entries: list[EndpointEntry], *, reset: bool = False, delayed: bool = True
     ) -> None:
-        """Add a watch event, after the publication delay unless told otherwise."""
+        """Add a watch event, after the publication delay unless ``delayed`` is false."""
         if delayed and self._publication_delay_ms:
             self.loop.call_later(self._publication_delay_ms, lambda: self._add(entries, reset))
         else:
@@ -111,7 +111,7 @@
         return host, port
 
     def remove_poll(self, poll: PollConnection) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection."""
         self._polls.pop(poll, None)
 
     def close(self) -> None:
@@ -130,7 +130,7 @@
         self._transport = transport
         self._broker = broker
         self._http = h11.Connection(h11.SERVER)
-        # The revision after which a poll waits for events; None while none waits.
+        # The revision after which the pending poll waits for events; None without a pending poll.
         self._after_revision: int | None = None
         self._linger_timer: Timer | None = None
         transport.on_data = self._on_data
@@ -141,7 +141,7 @@
         self._transport.close("discovery service closed")
 
     def answer(self) -> None:
-        """Answer the poll that waits, where there are events for it."""
+        """Answer the pending poll if there are events for it."""
         if self._after_revision is None:
             return
         watch_events = self._service.watch_events
--- a/umberusher/standin/engine.py
+++ b/umberusher/standin/engine.py
@@ -1,6 +1,6 @@
 """A stand-in engine: the engines' protocol on a socket over a :class:`machine.Machine`.
 
-It reports all that crosses its sockets, and the work that it begins and ends, to an event sink.
+It reports the traffic on its sockets, and the start and end of its work, to an event sink.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 ACCEPT_BATCH_SIZE = 64
 
 READING_QUEUED = 1
-"""An INFO line's figure for an attempt that waits for memory or its turn."""
+"""``reading`` in an INFO line for an attempt that waits for memory or for those ahead of it."""
 READING_QUEUED_FOR_GROUP = 2
-"""The same for one that waits for its group of tables."""
+"""The same for an attempt that waits for its group of tables."""
 
 
 class Engine:
-    """One engine, which may end and start again under the same name."""
+    """One engine, which may crash and start again under the same name."""
 
     def __init__(
         self,
@@ -57,13 +57,13 @@
         Args:
             loop: Runs its sockets and timers.
             name: Its name in the endpoint list.
-            shape: What its machine is.
+            shape: The size and the speed of its machine.
             sink: Receives the events at its sockets.
             kind: Machine type in the endpoint list.
             zone: Zone in the endpoint list.
-            cancellation: Whether a cancel frees what an attempt holds; else it runs on.
+            cancellation: Whether a cancel frees an attempt's resources; else it keeps running.
             warming_up: Whether it starts without its full capacity.
-            clock_skew_ms: What its clock is ahead of everyone's.
+            clock_skew_ms: How far its clock is ahead of the loop's.
             terms: What the deployment allows and reports.
         """
         self.loop = loop
@@ -94,19 +94,19 @@
         self.start(warming_up)
 
     def now_ms(self) -> float:
-        """Return the engine's own clock."""
+        """Return the time of the engine's own clock."""
         return self.loop.clock() * 1000.0 + self._clock_skew_ms
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address on which it listens."""
         host, port = self._listener.sock.getsockname()
         return host, port
 
     # -- Lifecycle
 
     def start(self, warming_up: bool = True) -> None:
-        """Start, or start again after an end, with nothing in hand and without faults."""
+        """Start, or start again after a crash, without requests and without faults."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.bind(("127.0.0.1", 0))
         sock.listen(LISTEN_BACKLOG)
@@ -131,7 +131,7 @@
         )
 
     def crash(self) -> None:
-        """End the process: its connections are reset, its work is lost."""
+        """End the process: its connections are reset and its work is lost."""
         if not self.alive:
             return
         self.alive = False
@@ -147,19 +147,19 @@
         self.crash()
 
     def reset_connections(self) -> None:
-        """Reset all connections; the process goes on."""
+        """Reset all connections; the process keeps running."""
         for connection in list(self._connections.values()):
             connection.reset()
 
     def read_slowly(self, bytes_per_interval: int) -> None:
-        """Read so many bytes every tenth of a second on each connection; 0 ends it."""
+        """Limit the bytes that each connection reads every tenth of a second; 0 for no limit."""
         self.faults.read_bytes_per_interval = bytes_per_interval
         if bytes_per_interval:
             for connection in list(self._connections.values()):
                 connection.read_slowly()
 
     def resume_answers(self) -> None:
-        """End an unresponsive phase: what was held goes out."""
+        """End an unresponsive phase and send the withheld answers."""
         self._writer.resume_answers()
 
     def _accept(self, sock: socket.socket) -> None:
@@ -172,7 +172,7 @@
             connection.read_slowly()
 
     def on_connection_closed(self, connection: EngineConnection) -> None:
-        """Give up all that is open on a closed connection."""
+        """Abandon the attempts that are open on a closed connection."""
         self._connections.pop(connection.connection_id, None)
         self._sink(EventKind.CONNECTION_CLOSED, self.name, connection.connection_id)
         for attempt in list(connection.attempts.values()):
@@ -181,7 +181,7 @@
     # -- Commands
 
     def handle(self, connection: EngineConnection, command: Command) -> None:
-        """Carry out one command of a broker."""
+        """Execute one command of a broker."""
         self._commands[command.word](connection, command)
 
     def _on_request(self, connection: EngineConnection, command: Command) -> None:
@@ -303,7 +303,7 @@
         self._writer.write_result(connection, line)
 
     def on_expired_in_queue(self, attempt: EngineAttempt) -> None:
-        """Answer an attempt whose time ended before its work began."""
+        """Answer an attempt whose deadline passed before its work started."""
         attempt.connection.attempts.pop(attempt.request_id, None)
         self._write_rejection(attempt.connection, attempt.request_id, "LATE")
 
@@ -312,7 +312,7 @@
         self._writer.write(connection, encode_answer(request_id, word))
 
     def _write_progress(self) -> None:
-        """Tell the brokers how far each attempt is that is in flight for a while."""
+        """Report the attempts that are queued or have run for one interval to their brokers."""
         interval_ms = self._terms.progress_interval_ms
         self._progress_timer = self.loop.call_later(interval_ms, self._write_progress)
         now_ms = self.now_ms()
--- a/umberusher/standin/engine_connection.py
+++ b/umberusher/standin/engine_connection.py
@@ -14,31 +14,31 @@
 
 SLOW_READ_INTERVAL_MS = 100.0
 SLOW_RECEIVE_BUFFER_BYTES = 2_304
-"""The kernel's smallest receive buffer, so that what is not read stays with the broker."""
+"""The kernel's smallest receive buffer, so that unread data stays on the broker's side."""
 
 STALE_AFTER_SLOW_READ_MS = 250.0
-"""After slow reading ended, in which what is read may still have lain in the buffer."""
+"""Time after slow reading in which a command that is read may have waited in the buffer."""
 
 
 class CommandHandler(Protocol):
-    """The engine, as its connections see it."""
+    """The interface of an engine for its connections."""
 
     loop: Loop
     faults: EngineFaults
 
     def now_ms(self) -> float:
-        """Return the engine's own clock."""
+        """Return the time of the engine's own clock."""
 
     def handle(self, connection: EngineConnection, command: Command, /) -> None:
-        """Carry out one command."""
+        """Execute one command."""
 
     def on_connection_closed(self, connection: EngineConnection, /) -> None:
-        """Give up all that is open on a connection."""
+        """Abandon the attempts that are open on a closed connection."""
 
 
 @dataclass(slots=True)
 class EngineAttempt:
-    """A request on an engine: its task, where the answer goes, and whether anyone waits for it."""
+    """A request on an engine: its task, its connection, and whether a broker waits for it."""
 
     request_id: str
     statement: bytes
@@ -68,7 +68,7 @@
         # By request identifier.
         self.attempts: dict[str, EngineAttempt] = {}
         self.pages: dict[str, list[bytes]] = {}
-        # Before which no further command is carried out: delayed commands stay in order.
+        # No command is executed before this time, so that delayed commands stay in order.
         self._next_command_ms = 0.0
         self._reads_slowly = False
         self._stale_until_ms = -1.0
@@ -76,7 +76,7 @@
         transport.on_closed = self._on_closed
 
     def may_read_late(self, now_ms: float) -> bool:
-        """Return whether a command may have lain in the kernel's buffer before it was read."""
+        """Return whether a command may have waited in the kernel's buffer before it was read."""
         return self._reads_slowly or now_ms < self._stale_until_ms
 
     def reset(self) -> None:
@@ -100,7 +100,7 @@
 
     def _on_data(self) -> None:
         if self._engine.faults.read_bytes_per_interval:
-            # What came with the end of the connection is given up with it.
+            # Data that arrived together with the end of the connection is dropped with it.
             self.read_slowly()
             return
         while self._is_open:
--- a/umberusher/standin/engine_faults.py
+++ b/umberusher/standin/engine_faults.py
@@ -1,4 +1,4 @@
-"""Faults that can be ordered from a stand-in engine."""
+"""Faults that can be injected into a stand-in engine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class EngineFaults:
-    """What is wrong with an engine just now.
+    """The faults of an engine that are active.
 
     Attributes:
         unresponsive: It reads everything and answers nothing until the fault ends.
@@ -15,7 +15,8 @@
         cut_result_after_bytes: Bytes of the next result that are written before a reset.
         reject_health_checks: It answers health checks with SICK.
         network_delay_ms: Delay of each direction, on top of loopback's.
-        read_bytes_per_interval: What it reads each tenth of a second, and no more; 0 for no limit.
+        read_bytes_per_interval: What each connection reads every tenth of a second, at most; 0 for
+            no limit.
     """
 
     unresponsive: bool = False
--- a/umberusher/standin/engine_protocol.py
+++ b/umberusher/standin/engine_protocol.py
@@ -27,13 +27,13 @@
 
 @dataclass(slots=True, frozen=True)
 class MalformedCommand:
-    """Bytes that are no command: an engine closes the connection on them."""
+    """Bytes that are not a valid command: an engine closes the connection on them."""
 
     reason: str
 
 
 def next_command(buffer: RingBuffer) -> Command | MalformedCommand | None:
-    """Take the next complete command; return None while more bytes are needed."""
+    """Read the next complete command; return None while more bytes are needed."""
     line_size = buffer.find(LINE_END, MAX_LINE_BYTES)
     if line_size < 0:
         return MalformedCommand("line too long") if len(buffer) >= MAX_LINE_BYTES else None
--- a/umberusher/standin/engine_work.py
+++ b/umberusher/standin/engine_work.py
@@ -21,13 +21,13 @@
 
 
 class WorkListener(Protocol):
-    """What answers the attempts when their work is over."""
+    """Answers the attempts whose work is over."""
 
     def on_work_done(self, attempt: EngineAttempt, /) -> None:
         """Answer an attempt with its result."""
 
     def on_expired_in_queue(self, attempt: EngineAttempt, /) -> None:
-        """Answer an attempt whose time ended before its work began."""
+        """Answer an attempt whose deadline passed before its work started."""
 
 
 class EngineWork:
@@ -93,7 +93,7 @@
         self.schedule_review()
 
     def abandon(self, attempt: EngineAttempt) -> None:
-        """Nobody waits for an attempt: cancel it where the engine supports that, else run on."""
+        """Cancel an attempt that no broker waits for, or let it run if the engine can't cancel."""
         attempt.connection.attempts.pop(attempt.request_id, None)
         attempt.wanted = False
         if not self._cancellation or self._stopped:
@@ -109,7 +109,7 @@
         self.schedule_review()
 
     def advance(self) -> None:
-        """Move the machine on to now and answer what has ended."""
+        """Advance the machine to the current time and answer the attempts that have ended."""
         progress = self.machine.advance(self._now_ms())
         for task in progress.ended:
             self._end(self._attempts.pop(task.name))
@@ -131,14 +131,14 @@
             self._review_timer = self._loop.call_later(due_ms - self._now_ms(), self._review)
 
     def stop_reviews(self) -> None:
-        """Stop the timer; nothing is cancelled any more."""
+        """Stop the timer, and ignore later cancels."""
         self._stopped = True
         if self._review_timer:
             self._review_timer.cancel()
             self._review_timer = None
 
     def abandon_all(self) -> None:
-        """Lose all attempts, as a process that ends does."""
+        """Drop all attempts, as a crash of the process does."""
         for attempt in self._attempts.values():
             if attempt.task.started_at_ms is not None:
                 self._sink(EventKind.WORK_ENDED, self._engine, attempt.request_id, False)
--- a/umberusher/standin/load_reports.py
+++ b/umberusher/standin/load_reports.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """One report as it goes over the wire."""
+    """One report as it is sent on the wire."""
 
     made_at_ms: float
     text: str
--- a/umberusher/standin/machine.py
+++ b/umberusher/standin/machine.py
@@ -1,11 +1,11 @@
-"""An engine as a machine without I/O: how long queries take on shared cores, memory and groups.
-
-All that runs gets the same rate a thread (processor sharing, Kleinrock 1967), so that one virtual
-clock serves all: a query with w ms of work on n threads ends when that clock has moved on by w/n,
-and no query has to be looked at when the rate changes. Up to ``knee`` threads a core each thread
-runs at full speed, since a part of its work is reading and writing; beyond it the total work falls
-by ``thrash``. An engine that has started is warming up: its capacity grows from ``warm_up_floor``
-to 1 within ``warm_up_ms``.
+"""A model of an engine's machine, without I/O: query times on shared cores, memory and groups.
+
+All threads run at the same rate (processor sharing, Kleinrock 1967), so that one virtual clock
+serves all: a query with w ms of work on n threads ends when that clock has advanced by w/n, and no
+query has to be updated when the rate changes. Up to ``knee`` threads per core each thread runs at
+full speed, since a part of its work is reading and writing; beyond it the total throughput falls by
+``thrash``. An engine that has started is warming up: its capacity grows from ``warm_up_floor`` to 1
+within ``warm_up_ms``.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from enum import Enum
 
 TIME_TOLERANCE_MS = 1e-3
-"""Guards against times that miss each other by a rounding, and timers that are set for ever."""
+"""Tolerates rounding errors between times, which would otherwise set the same timer without end."""
 
 WARM_UP_REVIEW_MS = 250.0
-"""How often to look again while warming up, when the rate changes by itself."""
+"""Interval of reviews while warming up, when the rate changes with time."""
 
 
 class Admission(Enum):
-    """What became of a task that was offered."""
+    """The result of offering a task."""
 
     RUNNING = "running"
     QUEUED = "queued"
@@ -37,12 +37,12 @@
 
     Attributes:
         work_ms: Work in ms of one thread.
-        deadline_ms: When its time is over.
+        deadline_ms: When it expires unless it is running.
         locked_group: The group of tables that it locks while it runs; None for a reader.
-        priority: Its place in the queue; running tasks share alike whatever their priority.
+        priority: Orders the queue, highest first; running tasks share the cores equally.
         started_at_ms: When it began to run; None before.
         ends_at_virtual_ms: The virtual time at which it ends.
-        cancelled: Cancelled while it ran; what it held is free.
+        cancelled: Cancelled while it ran; its resources are free.
     """
 
     name: str
@@ -59,13 +59,13 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineShape:
-    """What a machine is.
+    """The size and the speed of a machine.
 
     Attributes:
         speed: Rate of a thread below the knee.
-        knee: Threads a core up to which each runs at full speed.
-        thrash: How fast the total work falls beyond the knee.
-        max_sessions_per_core: Queries in hand, running and queued.
+        knee: Threads per core up to which each runs at full speed.
+        thrash: How fast the total throughput falls beyond the knee.
+        max_sessions_per_core: Limit of the queries, running and queued.
         warm_up_floor: Fraction of the capacity at the start.
     """
 
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What happened while a machine moved on, each in order."""
+    """The tasks that ended, started and expired while a machine advanced, each in order."""
 
     ended: list[Task] = field(default_factory=list)
     started: list[Task] = field(default_factory=list)
@@ -89,7 +89,7 @@
 
 
 class Machine:
-    """What runs and waits on one engine; times that are passed in must not go back."""
+    """The running and queued tasks of one engine; times that are passed in must not decrease."""
 
     def __init__(self, shape: MachineShape, now_ms: float, warming_up: bool = False) -> None:
         self.shape = shape
@@ -102,13 +102,13 @@
         self.queue: deque[Task] = deque()
         self.locked_groups: set[int] = set()
         self.completed_work_ms = 0.0
-        # By virtual end; the count keeps the order of equal ends.
+        # Heap by virtual end; the count keeps tasks with equal ends in order.
         self._ends: list[tuple[float, int, Task]] = []
         self._started_count = 0
 
     @property
     def session_count(self) -> int:
-        """Queries in hand."""
+        """Number of queries, running and queued."""
         return len(self.running) + len(self.queue)
 
     @property
@@ -133,7 +133,7 @@
         return due_ms
 
     def advance(self, now_ms: float) -> Progress:
-        """Move on to a time; return what ended, started and expired by then."""
+        """Advance to a time; return the tasks that ended, started and expired by then."""
         progress = Progress()
         while True:
             due_ms = self.next_review_ms()
@@ -147,7 +147,7 @@
         return progress
 
     def offer(self, now_ms: float, task: Task) -> Admission:
-        """Take a task at the time that the machine has been advanced to."""
+        """Start, queue or reject a task at the time to which the machine has been advanced."""
         if task.deadline_ms <= now_ms:
             return Admission.EXPIRED
         if self.session_count >= self.shape.max_sessions_per_core * self.shape.cores:
@@ -160,7 +160,7 @@
         return Admission.RUNNING
 
     def set_priority(self, name: str, priority: int) -> None:
-        """Set the priority of a queued task, which changes its place in the queue."""
+        """Set the priority of a queued task, which changes its position in the queue."""
         for task in [each for each in self.queue if each.name == name]:
             self.queue.remove(task)
             task.priority = priority
@@ -176,7 +176,7 @@
         return min(max(1.0 - remaining_virtual_ms / total_virtual_ms, 0.0), 1.0)
 
     def cancel(self, name: str) -> Task | None:
-        """Cancel a task and free what it held; return it, or None if it is not here."""
+        """Cancel a task and free its resources; return it, or None if it is unknown."""
         for queued in self.queue:
             if queued.name == name:
                 self.queue.remove(queued)
@@ -188,7 +188,7 @@
         return task
 
     def _rate(self) -> float:
-        """Return the virtual milliseconds a millisecond."""
+        """Return the virtual milliseconds per millisecond."""
         shape = self.shape
         if not self.threads:
             return shape.speed
@@ -210,7 +210,7 @@
             self.now_ms = now_ms
 
     def _end_due(self, progress: Progress) -> None:
-        """End the tasks whose virtual time has come."""
+        """End the tasks that are due by the virtual clock."""
         while self._ends:
             ends_at_virtual_ms, _, task = self._ends[0]
             is_due = ends_at_virtual_ms <= self.virtual_ms + TIME_TOLERANCE_MS
@@ -225,7 +225,8 @@
     def _start_queued(self, progress: Progress) -> None:
         """Start queued tasks in order.
 
-        A task that waits for its group lets others pass; one that waits for memory does not.
+        A task that waits for its group doesn't block those behind it; one that waits for memory
+        does.
         """
         for task in list(self.queue):
             if task.deadline_ms <= self.now_ms:
@@ -265,7 +266,7 @@
         return not self.running or self.memory_mb + task.memory_mb <= self.shape.memory_mb
 
     def _enqueue(self, task: Task) -> None:
-        """Queue a task behind all of its priority, before those of a lower one."""
+        """Insert a task behind all tasks of its priority, before those of a lower one."""
         position = len(self.queue)
         for index, queued in enumerate(self.queue):
             if queued.priority < task.priority:
--- a/umberusher/standin/pg_server.py
+++ b/umberusher/standin/pg_server.py
@@ -1,9 +1,9 @@
-"""A stand-in PostgreSQL server's session, without I/O: both query modes over made-up results.
+"""A stand-in PostgreSQL server's session, without I/O: both query modes, with generated results.
 
-Written from the published protocol. A text is ``rows N`` (so many rows of one column), ``begin``,
-``commit``, ``rollback``, ``fail``, or anything else, which returns no rows. The session counts what
-it runs, by text, at the moment that the protocol makes it final: at a Query's end, or at the Sync
-behind an Execute.
+Written from the published protocol. A text is ``rows N`` (N rows of one column), ``begin``,
+``commit``, ``rollback``, ``fail``, or anything else, which returns no rows. The session counts each
+text that it runs when the protocol makes its execution final: at a Query's end, or at the Sync
+after an Execute.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class TransactionStatus(StrEnum):
-    """The status that ReadyForQuery tells, in the protocol's letters."""
+    """The status that ReadyForQuery reports, in the protocol's letters."""
 
     IDLE = "I"
     IN_TRANSACTION = "T"
@@ -34,7 +34,7 @@
 
 
 class SqlState(StrEnum):
-    """The error codes that the session gives (PostgreSQL, Appendix A)."""
+    """The error codes that the session returns (PostgreSQL, Appendix A)."""
 
     PROTOCOL_VIOLATION = "08P01"
     DIVISION_BY_ZERO = "22012"
@@ -74,18 +74,18 @@
 
 
 def _row_count(text: str) -> int:
-    """Return the rows that a ``rows N`` text makes."""
+    """Return the number of rows that a ``rows N`` text returns."""
     return min(int(text.split()[1]), MAX_ROWS)
 
 
 class ModelServer:
-    """One session; ``feed`` takes a client's bytes and returns the answers."""
+    """One session; ``feed`` accepts a client's bytes and returns the answers."""
 
     def __init__(self, ran: Counter[str] | None = None) -> None:
         """Create a session.
 
         Args:
-            ran: Counts the texts that were run for good; sessions may share it.
+            ran: Counts the texts whose execution is final; sessions may share it.
         """
         self.ran: Counter[str] = Counter() if ran is None else ran
         self.statements: dict[str, PreparedStatement] = {}
@@ -205,7 +205,7 @@
         return self._send_rows(portal, fields["rows"])
 
     def _send_rows(self, portal: Portal, max_rows: int) -> bytes:
-        """Return the next rows of a portal; ``max_rows`` of 0 asks for all."""
+        """Return the next rows of a portal; ``max_rows`` of 0 requests all."""
         row_count = _row_count(portal.text)
         first = portal.sent_rows
         end = min(row_count, first + max_rows) if max_rows > 0 else row_count
@@ -237,7 +237,7 @@
         )
 
     def _check_allowed(self, text: str) -> bytes:
-        """Return the error that a text meets; empty if it may run."""
+        """Return the error for a text; empty if it may run."""
         if text == "fail":
             return self._fail(SqlState.DIVISION_BY_ZERO, "asked to")
         if self.state == TransactionStatus.FAILED and text not in ("rollback", "commit"):
--- a/umberusher/standin/query_plans.py
+++ b/umberusher/standin/query_plans.py
@@ -1,4 +1,4 @@
-"""Bad query plans: some attempts of reports take many times their work, drawn for each attempt."""
+"""Bad query plans: some attempts of class ``report`` take a multiple of their work, by chance."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         self.runaway_count = 0
 
     def work_factor(self, request_id: str, query_class: str) -> float:
-        """Return how many times its work an attempt takes."""
+        """Return the factor by which an attempt's work is multiplied."""
         self._attempt_count += 1
         draw = xxhash.xxh3_64_intdigest(
             f"{self._engine}/{request_id}/{self._attempt_count}".encode()
--- a/umberusher/standin/statements.py
+++ b/umberusher/standin/statements.py
@@ -1,7 +1,7 @@
-"""Statements that carry their own true work, and the results that stand-in engines make for them.
+"""Statements that contain their own work, and the results that stand-in engines make for them.
 
-The work stands in a comment, which brokers pass on unread; so an engine knows from the wire alone
-what it has to do. No I/O.
+The work is in an SQL comment, which brokers forward without reading it, so an engine gets it from
+the wire alone. No I/O.
 """
 
 from __future__ import annotations
@@ -12,7 +12,9 @@
 import xxhash
 
 MAX_PAGE_BYTES = 6_000
-LONG_RESULT_ONE_IN = 20  # statements with a result that takes several pages
+LONG_RESULT_ONE_IN = (
+    20  # one statement in this many has a long result, which may take several pages
+)
 _WORK = re.compile(rb"/\* work=([0-9.]+) memory=([0-9.]+) threads=([0-9]+) holds=(-?[0-9]+) \*/")
 
 
@@ -56,7 +58,7 @@
 
 
 def make_pages(request_id: str, statement: bytes) -> list[bytes]:
-    """Make the result of a request: pages of complete rows, mostly one, always the same."""
+    """Make the result of a request: pages of complete rows, mostly one, the same on each call."""
     seed = xxhash.xxh3_64_intdigest(request_id.encode() + statement)
     is_long = seed % LONG_RESULT_ONE_IN == 0
     row_count = 150 + seed % 400 if is_long else 1 + seed % 12
--- a/umberusher/standin/thrift_client.py
+++ b/umberusher/standin/thrift_client.py
@@ -1,6 +1,6 @@
 """The clients' side of the frontend's Thrift: calls to bytes, bytes to answers. No I/O.
 
-Framed, strict binary protocol; written by Apache Thrift's page on it (thrift-binary-protocol.md).
+Framed, strict binary protocol; written from Apache Thrift's page (thrift-binary-protocol.md).
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class AnswerKind(Enum):
-    """What an answer is; all but CHECK stand in event logs."""
+    """The kinds of answers; the values of all but CHECK are written to event logs."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -66,7 +66,7 @@
 
 
 class UnreadableAnswerError(Exception):
-    """The bytes are no answer."""
+    """The bytes can't be decoded as an answer."""
 
 
 def encode_execute(sequence_id: int, fields: dict[str, str], body: bytes) -> bytes:
@@ -88,7 +88,7 @@
 
 
 def encode_check(sequence_id: int) -> bytes:
-    """Encode the call that asks whether the broker is ready."""
+    """Encode the call that checks whether the broker is ready."""
     argument = struct.pack(">bhb", FieldType.BOOL, 1, 0)
     return _message(MessageType.CALL, b"check", sequence_id, argument)
 
@@ -156,10 +156,10 @@
 
 
 def next_answer(buffer: RingBuffer) -> Answer | None:
-    """Take the next complete answer; return None while more bytes are needed.
+    """Read the next complete answer; return None while more bytes are needed.
 
     Raises:
-        UnreadableAnswerError: The bytes are no answer.
+        UnreadableAnswerError: The bytes can't be decoded as an answer.
     """
     if len(buffer) < FRAME_HEADER_BYTES:
         return None
