--- a/umberusher/replay/brokers.py
+++ b/umberusher/replay/brokers.py
@@ -27,7 +27,7 @@
 Address = tuple[str, int]
 
 ANY_PORT: Address = ("127.0.0.1", 0)
-TERMINATION_TIMEOUT_S = 3.0  # for a broker's process to end by itself
+TERMINATION_TIMEOUT_S = 3.0  # for a broker's process to end after SIGTERM
 PR_SET_PDEATHSIG = 1  # of prctl(2)
 MAX_LOG_LINE_CHARS = 120
 _NUMBERS = re.compile(r"[0-9a-f]{16}|\d+(\.\d+)?")
@@ -35,13 +35,13 @@
 
 @dataclass(slots=True)
 class BrokerReport:
-    """What the brokers told of themselves by the end of a replay.
+    """What the brokers reported by the end of a replay.
 
     Attributes:
-        account: Their own account of deadlines, cancels and waste, summed; step clock.
+        account: Their own counts of deadlines, cancels and waste, summed; step clock only.
         request_events: What they reported of requests that ended late, expired or disconnected.
-        log_lines: What they warned of, by kind of line; wall clock.
-        crash_count: Processes that did not end as they were told to.
+        log_lines: Their warnings, counted by kind of log line; wall clock only.
+        crash_count: Processes that ended otherwise than by exit status 0 or SIGTERM.
     """
 
     account: Counter[str] = field(default_factory=Counter)
@@ -56,7 +56,7 @@
     report: BrokerReport
 
     def start(self, raw_configuration: dict[str, Any]) -> Address:
-        """Start a broker; return where its clients find it."""
+        """Start a broker; return the address for its clients."""
 
     def any_ended(self) -> bool:
         """Return whether a broker has ended by itself."""
@@ -94,12 +94,12 @@
         self._on_closing = on_closing
 
     def start(self, raw_configuration: dict[str, Any]) -> Address:
-        """Start a broker; return where its clients find it."""
+        """Start a broker; return the address for its clients."""
         config = configuration.parse(raw_configuration)
         config.listen = ANY_PORT
         make_contracts = None
         if self._options.contract_path:
-            # Imported where a contract is named: it needs the tools' requirements.
+            # Imported only for a contract: it needs the requirements of the tools.
             from umberusher.commands import contracts
 
             make_contracts = contracts.enforcer_factory(
@@ -127,11 +127,11 @@
         return False
 
     def stall(self, duration_ms: float) -> None:
-        """Let time pass in which nobody runs."""
+        """Let time pass in which nothing runs."""
         self._loop.now += duration_ms / 1000.0
 
     def close(self) -> None:
-        """Take the brokers' accounts and close them; the loop stays open."""
+        """Collect the brokers' accounts and close the brokers; the loop stays open."""
         for broker in self.brokers:
             self._add_account(broker)
             if self._on_closing:
@@ -167,7 +167,7 @@
 
 
 class BrokerProcesses:
-    """Brokers as processes of their own, in real time; each is ended by its identifier."""
+    """Brokers as processes of their own, in real time; each is ended by its process identifier."""
 
     def __init__(self, options: ReplayOptions, loop: Loop) -> None:
         self.report = BrokerReport()
@@ -177,7 +177,7 @@
         self._folder = tempfile.TemporaryDirectory(prefix="umberusher-replay-")
 
     def start(self, raw_configuration: dict[str, Any]) -> Address:
-        """Start a broker; return where its clients find it."""
+        """Start a broker; return the address for its clients."""
         address = free_address()
         name = raw_configuration["name"]
         listen = {"listen": f"{address[0]}:{address[1]}"}
@@ -199,7 +199,7 @@
         return any(process.poll() is not None for process in self._processes)
 
     def stall(self, duration_ms: float) -> None:
-        """Stop all brokers for a time."""
+        """Suspend all brokers for a time."""
         self._signal_all(signal.SIGSTOP)
         self._loop.call_later(duration_ms, lambda: self._signal_all(signal.SIGCONT))
 
@@ -249,5 +249,5 @@
 
 
 def _end_with_parent() -> None:
-    """Have the kernel end a broker whose replay is killed (prctl(2))."""
+    """Make the kernel kill this broker when the replay's process ends (prctl(2))."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
--- a/umberusher/replay/client_driver.py
+++ b/umberusher/replay/client_driver.py
@@ -21,22 +21,22 @@
 from umberusher.traces.plan import Plan, PlanRow
 
 DEFAULT_RETRY_DELAY_MS = 50.0
-"""Before a client's own retry where it is told no Retry-After."""
+"""Delay before a client's retry where the answer has no Retry-After."""
 MIN_BUDGET_MS = 1.0
-"""With less left before its deadline a client does not send."""
+"""A client doesn't send a request with less time than this before its deadline."""
 RETRIED_WHEN_IDEMPOTENT = (Outcome.FAILED, Outcome.EXCEPTION, Outcome.LOST)
 
 
 @dataclass(slots=True)
 class RetryAfterCount:
-    """Clients of a team that came back as a rejection told them, and those that were accepted."""
+    """Retries of a team after the Retry-After of a rejection, and those that were not rejected."""
 
     retried: int = 0
     accepted: int = 0
 
 
 class ClientDriver:
-    """Plays the requests of a plan at their times and scores what becomes of them."""
+    """Plays the requests of a plan at their times and scores their outcomes."""
 
     def __init__(
         self,
@@ -155,7 +155,7 @@
     def _retry_delay_ms(
         self, request: ClientRequest, outcome: Outcome, answer: Answer | None
     ) -> float:
-        """Return how long to wait before a retry; note whether the broker told it."""
+        """Return how long to wait before a retry; record whether that is a Retry-After."""
         retry_after = answer.fields.get("backoff", "") if answer else ""
         has_retry_after = retry_after.isdigit()
         delay_ms = float(retry_after) if has_retry_after else DEFAULT_RETRY_DELAY_MS
--- a/umberusher/replay/clock.py
+++ b/umberusher/replay/clock.py
@@ -8,7 +8,7 @@
 
 
 class ReplayClock:
-    """Counts from the start of a replay."""
+    """Counts milliseconds from the start of a replay."""
 
     __slots__ = ("_loop", "_started_at_s")
 
@@ -17,7 +17,7 @@
         self._started_at_s: float | None = None
 
     def start(self, delay_s: float) -> None:
-        """Let the replay start after a delay; until then its time is negative."""
+        """Set the replay's start after a delay; until then its time is negative."""
         self._started_at_s = self._loop.clock() + delay_s
 
     def now_ms(self) -> float:
@@ -27,5 +27,5 @@
         return (self._loop.clock() - self._started_at_s) * 1000.0
 
     def call_at(self, at_ms: float, call: Callable[[], None]) -> None:
-        """Call at a time of the replay."""
+        """Schedule a call at a time of the replay."""
         self._loop.call_later(at_ms - self.now_ms(), call)
--- a/umberusher/replay/compare.py
+++ b/umberusher/replay/compare.py
@@ -1,8 +1,8 @@
 """Experiments: a plan under several settings, and how the results differ beyond chance.
 
-Each replay runs in a process of its own. Seeds are repeats, not settings: figures of the same
-settings are put together with their mean and deviation, and a difference from the first settings is
-given with its standard error (Welch 1947).
+Each replay runs in a process of its own. Seeds are repetitions, not settings: results of the same
+settings are combined into their mean and standard deviation, and the difference from the first
+settings is given with its standard error (Welch 1947).
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VariedSetting:
-    """A setting that ``--vary`` knows: how its values are read, and the option that they set."""
+    """A setting that ``--vary`` accepts: the parser of its values, and the option that they set."""
 
     parse: type[int] | type[float] | type[str]
     option: str
@@ -119,7 +119,7 @@
 
 
 def summary(chosen: list[Settings], results: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Return a row for each setting, seeds put together; differences are from the first row."""
+    """Return a row for each combination of settings, over all seeds; differences from the first."""
     groups: dict[tuple[tuple[str, Any], ...], list[dict[str, Any]]] = {}
     for settings, result in zip(chosen, results, strict=True):
         key = tuple((name, value) for name, value in settings.items() if name != SEED)
--- a/umberusher/replay/engine_fleet.py
+++ b/umberusher/replay/engine_fleet.py
@@ -20,13 +20,13 @@
 
 SMALL_KIND = "std-8"
 LARGE_KIND = "std-16"
-LARGE_ONE_IN = 3  # of the engines where the plan names no machines
+LARGE_ONE_IN = 3  # one engine in this many is large where the plan names no machines
 ADDED = "ADD"
 REMOVED = "REMOVE"
 
 
 class EngineFleet:
-    """All engines of a replay, which may go and come back under their names."""
+    """All engines of a replay, which may crash and start again under their names."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         sink: EventSink,
         notes: Counter[str],
     ) -> None:
-        """Create the fleet without engines; ``notes`` counts what happens to machines."""
+        """Create the fleet without engines; ``notes`` counts the machine events."""
         self.engines: dict[str, Engine] = {}
         self._plan = plan
         self._options = options
@@ -55,16 +55,16 @@
         for name, kind in self._first_engines():
             self.engines[name] = self._make_engine(name, kind)
         if not self.engines:
-            raise UsageError("there is no node to play with")
+            raise UsageError("a replay needs at least one engine")
         entries = [self._discovery.entry(engine, "SERVING") for engine in self.engines.values()]
         self._discovery.publish(entries, reset=True, delayed=False)
 
     def engine_name(self, machine: str) -> str | None:
-        """Return the engine that plays a machine of the plan; None if none does."""
+        """Return the engine that stands for a machine of the plan; None if none does."""
         return self._engine_names.get(machine)
 
     def apply_machine_event(self, name: str, event: str) -> None:
-        """Let an engine end or start again; it keeps its name."""
+        """Crash an engine, or start it again under its name."""
         self._notes[f"machine {event}"] += 1
         engine = self.engines[name]
         if event == REMOVED and engine.alive:
@@ -86,7 +86,7 @@
             engine.close()
 
     def _first_engines(self) -> list[tuple[str, str]]:
-        """Return names and kinds at the start: the plan's machines, else as many as wanted."""
+        """Return names and kinds at the start: from the plan's machines, else by the options."""
         machines = [each for each in self._plan.machines if _is_first(each)]
         count = self._options.engine_count
         if not machines:
--- a/umberusher/replay/fault_injector.py
+++ b/umberusher/replay/fault_injector.py
@@ -1,4 +1,4 @@
-"""Lets the faults of a script, and the machine events of a plan, happen at their times."""
+"""Injects the faults of a script, and the machine events of a plan, at their times."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FaultInjector:
-    """Schedules faults and machine events, and carries them out."""
+    """Schedules faults and machine events, and applies them."""
 
     def __init__(
         self, fleet: EngineFleet, brokers: BrokerHost, clock: ReplayClock, notes: Counter[str]
@@ -42,7 +42,7 @@
         """Schedule all faults and machine events.
 
         Raises:
-            UsageError: A fault names an engine that is not there.
+            UsageError: A fault names an engine that doesn't exist.
         """
         for fault in faults:
             if fault.kind is not FaultKind.STALL and fault.node not in self._fleet.engines:
@@ -81,7 +81,7 @@
         engine.faults.cut_result_after_bytes = int(fault.after)
 
     def _delay_reports(self, fault: Fault, engine: Engine) -> None:
-        # Those of this incarnation: an engine that has started again has none.
+        # The faults of this incarnation: an engine that has started again has none.
         faults = engine.faults
         faults.report_delay_ms = fault.by_ms
 
--- a/umberusher/replay/faults.py
+++ b/umberusher/replay/faults.py
@@ -1,16 +1,16 @@
-"""Fault scripts: who does what when, in Starlark, as a list of values.
+"""Fault scripts: which engine has which fault when, in Starlark, as a list of values.
 
 faults = [
     silent("n-1", at=10, until=20),        # reads everything, answers nothing
-    reset("n-2", at=15),                   # resets its connections, goes on
-    cut("n-2", at=16, after=40),           # its next result ends after so many bytes, with a reset
+    reset("n-2", at=15),                   # resets its connections, keeps running
+    cut("n-2", at=16, after=40),           # cuts its next result after 40 bytes, by a reset
     late_reports("n-0", at=5, until=25, by_ms=2000),
-    die("n-3", at=30, back=45),            # the process ends; back: a new one of the same name
-    drain("n-4", at=20, back=40),          # the discovery service says so
+    die("n-3", at=30, back=45),            # its process ends; a new one starts at ``back``
+    drain("n-4", at=20, back=40),          # the discovery service lists it as draining
     sick("n-0", at=3, until=9),            # answers health checks with SICK
-    delay("n-1", at=0, until=60, by_ms=25),    # each direction takes so much longer
-    slow("n-2", at=5, until=9, rate=10),   # reads so many bytes a second, and no more
-    stall("all", at=12, until=12.5),  # step clock: time passes, nobody runs; wall: brokers stop
+    delay("n-1", at=0, until=60, by_ms=25),    # delays each direction by this much
+    slow("n-2", at=5, until=9, rate=10),   # reads at most this many bytes a second
+    stall("all", at=12, until=12.5),  # step clock: time passes, nothing runs; wall: brokers stop
 ]
 """
 
@@ -85,7 +85,7 @@
     """Return the faults of a script, by time.
 
     Raises:
-        ScriptError: Names the file, and the place and the field that are wrong.
+        ScriptError: Names the file, the fault and the field that are wrong.
     """
     script = Script.load(path, prelude=_prelude(), values=("faults",))
     items = script.get("faults")
--- a/umberusher/replay/key_spacing.py
+++ b/umberusher/replay/key_spacing.py
@@ -1,4 +1,4 @@
-"""Clients write requests of one key some time apart."""
+"""The minimum interval between the clients' requests of one key."""
 
 from __future__ import annotations
 
@@ -33,10 +33,9 @@
         return start_ms
 
     def write(self, key: str, now_ms: float) -> float:
-        """Note that a key is written now; return how long to wait instead, 0 if it may be.
+        """Record a write of a key now and return 0, or return how long to wait before it.
 
-        Guards the clients' own rule after a stall of everybody, when all that was due fires at
-        once.
+        This keeps the interval after a stall of all parties, when all due timers fire at once.
         """
         since_ms = now_ms - self._written_at_ms.get(key, -KEY_INTERVAL_MS)
         if since_ms < KEY_INTERVAL_MS - TIME_TOLERANCE_MS:
--- a/umberusher/replay/options.py
+++ b/umberusher/replay/options.py
@@ -1,4 +1,4 @@
-"""How a plan is played."""
+"""The options by which a plan is played."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class ClockKind(StrEnum):
-    """Whose time passes; the values stand in result files."""
+    """The clock of a replay; the values are written to result files."""
 
     STEP = "step"
-    """Simulated time: brokers run in this process, and a replay comes out the same each time."""
+    """Simulated time: brokers run in this process, and a replay has the same result each time."""
     WALL = "wall"
     """Real time: each broker is a process of its own."""
 
@@ -23,11 +23,11 @@
 
     Attributes:
         max_client_retries: Retries of a client after a rejection or a failure.
-        disconnect_fraction: Fraction of the requests whose client leaves before its deadline.
-        tight_deadline_fraction: Fraction of the requests with no more than some tenths of a second.
+        disconnect_fraction: Fraction of the requests whose client disconnects before its deadline.
+        tight_deadline_fraction: Fraction of the requests with a deadline of about 0.4 s or less.
         cancellation: Whether engines support cancellation.
         terms: The deployment, by its name in ``site.DEPLOYMENT_TERMS``.
-        clock_skew_ms: Engines' clocks are ahead of everyone's by this, or behind, in turn.
+        clock_skew_ms: Engines' clocks are alternately ahead of the loop's by this, and behind it.
         contract_path: A contract's file, for brokers that enforce it.
         request_teams: The team of each request of the plan.
         uneven_fraction: Fraction of the requests without a key that all go to the first broker.
--- a/umberusher/replay/plans.py
+++ b/umberusher/replay/plans.py
@@ -1,4 +1,4 @@
-"""Plans out of plans: several teams' as one, a team's alone, and surges. No I/O."""
+"""Derives plans from plans: merges teams' plans, selects one team, adds surges. No I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 SURGE_SPREAD_US = 997  # between the copies of one request
 
 Row = tuple[Any, ...]
-"""Sorts by time, the team's order and the number; then class, request and team."""
+"""Time, the team's position and the request's number, which sort; then class, request and team."""
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
 
 
 def select_team(merged: MergedPlan, team: str) -> Plan:
-    """Return a team's requests alone, with the machines of the whole."""
+    """Return a team's requests alone, with the machines of the merged plan."""
     plan = merged.plan
     selected = Plan(plan.classes, machines=plan.machines, keys=plan.keys)
     for name, column in plan.columns.items():
--- a/umberusher/replay/replay.py
+++ b/umberusher/replay/replay.py
@@ -1,4 +1,4 @@
-"""One replay: brokers, stand-in engines, a discovery service and clients, played and ended.
+"""One replay: runs brokers, stand-in engines, a discovery service and clients, and ends them.
 
 With simulated time the brokers live on the same loop as the stand-ins; in real time each is a
 process of its own (``umberusher serve``), which is ended however the replay ends.
@@ -36,15 +36,15 @@
 from umberusher.traces.plan import Plan
 
 READY_TIMEOUT_S = 10.0
-"""For brokers to say that they are ready."""
+"""Time for brokers to report that they are ready."""
 READY_CHECK_INTERVAL_S = 0.1
 CONNECTION_SETTLING_S = 0.5
-"""After the clients have connected, before the replay starts."""
+"""Time after the clients have connected, before the replay starts."""
 START_DELAY_S = 0.05
 MAX_LAST_ANSWER_WAIT_S = 30.0
-"""After the last request, for the longest deadline."""
+"""Time after the last request, longer than the longest deadline."""
 FINAL_EVENTS_WAIT_S = 0.2
-"""After the last answer, so that the rules see the lines that are under way."""
+"""Time after the last answer, so that the rules cover the lines that are in transit."""
 CONNECTIONS_AT_START = 4
 """Connections of clients to each broker."""
 MAX_WALL_STEP_MS = 50.0
@@ -54,12 +54,12 @@
 PROGRESS_INTERVAL_REQUESTS = 256
 BROKER_MEMORY_MB = 192
 UNLIMITED_MEMORY_MB = 1e6
-"""For brokers in this process, which holds more than they do."""
+"""For brokers in this process, whose memory contains more than theirs."""
 SEED_STRIDE = 7919
 """Between the seeds of replays, so that their brokers' seeds differ."""
 
 Progress = Callable[[int], None]
-"""Told how many requests have been started."""
+"""Called with the number of requests that have been started."""
 
 
 def _ignore_progress(_started: int) -> None:
@@ -67,7 +67,7 @@
 
 
 class Replay:
-    """The parties of one replay and their lives."""
+    """Starts the parties of one replay, plays the plan and closes the parties."""
 
     def __init__(
         self,
@@ -82,8 +82,8 @@
         Args:
             plan: What to play.
             options: How to play it.
-            progress: Told how many requests have been started.
-            on_parties_started: Called before the brokers are ready; tests break something there.
+            progress: Called with the number of requests that have been started.
+            on_parties_started: Called before the brokers are ready; tests inject defects there.
             on_broker_closing: Called with each broker of this process before it closes.
 
         Raises:
@@ -98,7 +98,7 @@
         self._terms = terms
         self._progress = progress
         self._on_parties_started = on_parties_started
-        # What the end of the parties does is no part of the replay.
+        # Events that come from closing the parties are no part of the replay.
         self._closing = False
         self.loop: Loop
         self.broker_host: BrokerHost
@@ -122,7 +122,7 @@
         self._injector = FaultInjector(self.fleet, self.broker_host, self.clock, self.notes)
 
     def play(self) -> None:
-        """Play the plan to its end; stop early, and note it, when interrupted."""
+        """Play the plan to its end; stop early, and record that, when interrupted."""
         with _garbage_collection_disabled():
             try:
                 self._set_up()
@@ -135,7 +135,7 @@
                 self.close()
 
     def close(self) -> None:
-        """End all parties."""
+        """Close all parties."""
         self._closing = True
         for pool in self.clients:
             pool.close()
@@ -160,7 +160,7 @@
         )
 
     def _observe(self, kind: EventKind, *values: EventValue) -> None:
-        """Pass what crossed a socket to the checker."""
+        """Pass an event of a stand-in to the checker."""
         if not self._closing:
             self.checker.feed(self.clock.now_ms(), kind, *values)
 
@@ -182,7 +182,7 @@
         timeout_s = self.loop.clock() + READY_TIMEOUT_S
         while not all(pool.ready for pool in self.clients):
             if self.loop.clock() > timeout_s or self.broker_host.any_ended():
-                raise UsageError("a broker did not become ready")
+                raise UsageError("a broker ended or did not become ready in time")
             for pool in self.clients:
                 if not pool.ready:
                     pool.send_check()
@@ -278,7 +278,7 @@
 
 @contextlib.contextmanager
 def _garbage_collection_disabled() -> Iterator[None]:
-    """Collect no garbage: in real time its pauses would count as the brokers'."""
+    """Disable garbage collection: in real time its pauses would count as the brokers'."""
     was_enabled = gc.isenabled()
     gc.collect()
     gc.freeze()
--- a/umberusher/replay/requests.py
+++ b/umberusher/replay/requests.py
@@ -1,4 +1,4 @@
-"""The requests of a plan, with what their clients draw for each."""
+"""The requests of a plan, with what is drawn at random for each."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
     Attributes:
         deadline_ms: When the client gives up.
-        broker: The number of the broker that it goes to.
-        disconnect_after_ms: When its client leaves, since its arrival; None if it doesn't.
-        obeys_retry_after: Its retry waits as long as a rejection told.
+        broker: The number of the broker that it is sent to.
+        disconnect_after_ms: Time from its arrival to its client's disconnect; None without one.
+        obeys_retry_after: Its retry waits for the Retry-After of a rejection.
     """
 
     number: int
@@ -62,7 +62,7 @@
         self._terms = terms
 
     def make(self, number: int, row: PlanRow, now_ms: float) -> ClientRequest:
-        """Make a request that arrives now. The order of the draws must stay."""
+        """Make a request that arrives now. The order of the random draws must not change."""
         query_class = self._plan.classes[row.query_class]
         settings = site.CLASS_BY_NAME[query_class]
         rng = random.Random((self._options.seed << 32) ^ number)
@@ -133,7 +133,7 @@
         return broker
 
     def _draw_disconnect_ms(self, rng: random.Random, limit_ms: float) -> float | None:
-        """Draw when a client leaves: mostly early, half of them within an eighth of their time."""
+        """Draw when a client disconnects: mostly early, half within an eighth of the range."""
         if rng.random() >= self._options.disconnect_fraction:
             return None
         delay_ms = limit_ms * MAX_DISCONNECT_FRACTION * rng.random() ** 3
--- a/umberusher/replay/result.py
+++ b/umberusher/replay/result.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class ReplayRecord:
-    """What a replay leaves behind."""
+    """The state of a replay from which its result is made."""
 
     options: ReplayOptions
     planned_count: int
@@ -65,7 +65,7 @@
         "notes": _notes_document(record),
     }
     if not kept_pace or not is_complete:
-        # A figure would be one of the machine, not of the broker.
+        # The service would depend on this machine, not on the broker alone.
         document["service"] = None
         for each in document["by_class"].values():
             each["service"] = None
--- a/umberusher/replay/score.py
+++ b/umberusher/replay/score.py
@@ -20,7 +20,7 @@
 
 
 class Ending(StrEnum):
-    """How a request counts; the values stand in result files."""
+    """How a request counts; the values are written to result files."""
 
     SERVED = "served"
     LATE = "late"
@@ -50,7 +50,7 @@
     latencies_ms: list[float] = field(default_factory=list)
 
     def document(self) -> dict[str, Any]:
-        """Return the figures as JSON."""
+        """Return the scores as JSON."""
         service = round(100 * self.earned / self.requested, 2) if self.requested else None
         return {
             "requests": self.requests,
@@ -61,7 +61,7 @@
 
 
 class Score:
-    """Takes first attempts and what became of them; ``document`` gives the figures."""
+    """Adds up requests and their outcomes; ``document`` returns the scores."""
 
     def __init__(self) -> None:
         self._by_class = {name: ClassScore() for name in site.CLASS_NAMES}
@@ -80,18 +80,18 @@
         duration_ms: float,
         work_ms: float,
     ) -> None:
-        """Count a first attempt, its client's retries with it.
+        """Count a request, with its client's retries as a part of it.
 
         Args:
             query_class: Its class.
             arrived_ms: When it arrived, since the replay's start.
-            outcome: What became of it in the end.
-            duration_ms: From its arrival to its end.
+            outcome: Its final outcome.
+            duration_ms: Time from its arrival to its end.
             work_ms: Its true work.
         """
         score = self._by_class[query_class]
         if outcome is Outcome.DISCONNECTED:
-            # By its client's own choice: nothing was owed.
+            # Its client chose to disconnect, so no answer was due.
             self._disconnected_count += 1
             score.ends[outcome.value] += 1
             return
@@ -143,7 +143,7 @@
         )
 
     def document(self) -> dict[str, Any]:
-        """Return the figures as JSON."""
+        """Return the scores as JSON."""
         requested = sum(self._requested)
         return {
             "service": round(self.service(), 1),
--- a/umberusher/replay/site.py
+++ b/umberusher/replay/site.py
@@ -1,6 +1,6 @@
-"""The site of a replay: its query classes, engines, limits and rules, in the platform's form.
+"""The site of a replay: its query classes, engines, limits and rules, in the platform's format.
 
-A replay has no configuration of its own to find.
+They are constants: a replay reads no configuration file.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
 SCORING_MIX = {"whole": 0.5, "worst_window": 0.15, "worst_class": 0.35}
 WORST_WINDOW_S = 10
 MAX_RETRY_AFTER_MS = 500.0
-"""The longest that a rejection may tell a client to stay away."""
+"""The longest Retry-After of a rejection."""
 
 DEPLOYMENT_TERMS = {
     "probes": DeploymentTerms(),
@@ -92,9 +92,9 @@
         tenant_quotas=(("first", 30.0), ("second", 20.0), ("third", 8.0)),
     ),
 }
-"""The two forms that are known, in round figures.
+"""The two known kinds of deployments, with rounded numbers.
 
-Load by health checks; or load in answers, with priorities, cost and tenants.
+Engines report their load to health checks; or in answers, with priorities, cost and tenants.
 """
 
 
