--- a/tests/replay/plans.py
+++ b/tests/replay/plans.py
@@ -1,4 +1,4 @@
-"""A small plan and faults for replays."""
+"""A small plan and a list of faults for the tests of replays."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 def plan_of(seconds: float = 6.0, rate: float = 60.0, keys: int = 40) -> Plan:
     plan = Plan(site.CLASS_NAMES)
-    plan.keys = ["", *(f"k{n}" for n in range(keys))]
+    plan.keys = ["", *(f"k{number}" for number in range(keys))]
     for number in range(int(seconds * rate)):
-        cls = 2 if number % 11 == 0 else 1 if number % 7 == 0 else 0
+        query_class = 2 if number % 11 == 0 else 1 if number % 7 == 0 else 0
         row = (
             int(number * 1e6 / rate),
-            cls,
-            (60.0, 900.0, 500.0)[cls] * (0.5 + number % 5 / 4),
+            query_class,
+            (60.0, 900.0, 500.0)[query_class] * (0.5 + number % 5 / 4),
             40.0,
             number % 12,
-            1 + number // 11 % keys if cls == 2 else 0,
+            1 + number // 11 % keys if query_class == 2 else 0,
             number,
         )
         for column, value in zip(plan.columns.values(), row, strict=True):
--- a/tests/replay/test_commands.py
+++ b/tests/replay/test_commands.py
@@ -1,4 +1,7 @@
-"""``trace replay`` and ``trace compare`` from the command line."""
+"""Guards ``trace replay`` and ``trace compare`` against missing results.
+
+An interrupted replay must still write its partial result and end its brokers' processes.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +19,12 @@
 
 
 def test_commands_write_result_and_report(tmp_path, capsys):
-    plan, out = str(tmp_path / "p.plan"), tmp_path / "r.json"
+    plan, result_path = str(tmp_path / "p.plan"), tmp_path / "r.json"
     plan_of(2.0).save(plan)
-    asked = ["--nodes", "4", "--json", str(out), "--report", str(tmp_path / "rep")]
-    assert cli.main(["trace", "replay", plan, *asked]) == 0
-    found = json.loads(out.read_text())
-    assert {"service", "by_class", "requests", "answers", "rules_broken"} <= found.keys()
+    options = ["--nodes", "4", "--json", str(result_path), "--report", str(tmp_path / "rep")]
+    assert cli.main(["trace", "replay", plan, *options]) == 0
+    result = json.loads(result_path.read_text())
+    assert {"service", "by_class", "requests", "answers", "rules_broken"} <= result.keys()
     assert (tmp_path / "rep" / "replay.html").read_text().count("<svg") == 2
     assert (
         cli.main(
@@ -36,19 +39,25 @@
                 "--jobs",
                 "4",
                 "--json",
-                str(out),
+                str(result_path),
             ]
         )
         == 0
     )
-    assert len(json.loads(out.read_text())["runs"]) == 4 and "nodes=4" in capsys.readouterr().out
-    assert cli.main(["trace", "replay", str(out)]) == 2 and "not a plan" in capsys.readouterr().err
+    assert (
+        len(json.loads(result_path.read_text())["runs"]) == 4
+        and "nodes=4" in capsys.readouterr().out
+    )
+    assert (
+        cli.main(["trace", "replay", str(result_path)]) == 2
+        and "not a plan" in capsys.readouterr().err
+    )
 
 
 def test_replay_reports_partial_result_and_ends_brokers_when_interrupted(tmp_path):
-    plan, out = str(tmp_path / "p.plan"), tmp_path / "r.json"
+    plan, result_path = str(tmp_path / "p.plan"), tmp_path / "r.json"
     plan_of(30.0).save(plan)
-    child = subprocess.Popen(
+    replay_process = subprocess.Popen(
         [
             sys.executable,
             "-m",
@@ -59,22 +68,24 @@
             "--clock",
             "wall",
             "--json",
-            str(out),
+            str(result_path),
         ],
         cwd=ROOT,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
     )
     time.sleep(4.0)
-    brokers = Path(f"/proc/{child.pid}/task/{child.pid}/children").read_text().split()
-    child.send_signal(signal.SIGINT)
-    said, _ = child.communicate(timeout=20)
-    found = json.loads(out.read_text())
+    brokers = (
+        Path(f"/proc/{replay_process.pid}/task/{replay_process.pid}/children").read_text().split()
+    )
+    replay_process.send_signal(signal.SIGINT)
+    output, _ = replay_process.communicate(timeout=20)
+    result = json.loads(result_path.read_text())
     assert (
-        child.returncode == 3
-        and found["partial"]
-        and found["service"] is None
-        and 0 < found["played"] < 1_800
+        replay_process.returncode == 3
+        and result["partial"]
+        and result["service"] is None
+        and 0 < result["played"] < 1_800
     )
-    assert b"PARTIAL" in said and len(brokers) == 2
-    assert not any(Path(f"/proc/{each}").exists() for each in brokers)
+    assert b"PARTIAL" in output and len(brokers) == 2
+    assert not any(Path(f"/proc/{process_id}").exists() for process_id in brokers)
--- a/tests/replay/test_compare.py
+++ b/tests/replay/test_compare.py
@@ -1,4 +1,4 @@
-"""Comparisons of replays under several settings."""
+"""Guards against comparisons that combine the wrong replays or accept invalid settings."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 
 def test_comparison_gives_difference_and_standard_error():
     varied = parse(["nodes=3,5", "seed=1,2,3"])
-    chosen = variations(ReplayOptions(), varied)
+    chosen_variations = variations(ReplayOptions(), varied)
     assert (
-        len(chosen) == 6 and chosen[-1].options.engine_count == 5 and chosen[-1].options.seed == 3
+        len(chosen_variations) == 6
+        and chosen_variations[-1].options.engine_count == 5
+        and chosen_variations[-1].options.seed == 3
     )
     results = [
         {
@@ -25,11 +27,11 @@
             "rules_broken": [],
             "by_class": {"lookup": {"service": 9.0}},
         }
-        for options in (each.options for each in chosen)
+        for options in (each.options for each in chosen_variations)
     ]
-    rows = summary([each.settings for each in chosen], results)
+    rows = summary([each.settings for each in chosen_variations], results)
     assert [row["service"] for row in rows] == [58.0, 62.0] and rows[1]["difference"] == 4.0
     assert rows[1]["error"] == pytest.approx((2 / 3) ** 0.5)
-    for bad in (["size=3"], ["nodes"], ["nodes=x"], ["nodes=1", "nodes=2"]):
+    for invalid in (["size=3"], ["nodes"], ["nodes=x"], ["nodes=1", "nodes=2"]):
         with pytest.raises(UsageError, match="--vary"):
-            parse(bad)
+            parse(invalid)
--- a/tests/replay/test_faults.py
+++ b/tests/replay/test_faults.py
@@ -1,4 +1,4 @@
-"""Fault scripts."""
+"""Guards against fault scripts that are misread, or rejected without their file and field."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         ("cut", 4, None),
         ("silent", 9, None),
     ]
-    for text, told in (
+    for text, message in (
         ('faults = [silent("n", at=5, until=4)]', r"faults\[0\] \(silent\): until must be later"),
         ('faults = [reset("n", at=-1)]', "at must be a number of at least 0"),
         ("faults = 3", "must be a list"),
@@ -29,7 +29,7 @@
         ("faults = [\n  die()]", "f.star:2"),
     ):
         path.write_text(text)
-        with pytest.raises(UsageError, match=told):
+        with pytest.raises(UsageError, match=message):
             load_faults(str(path))
     with pytest.raises(UsageError, match="no node n-9"):
         run_replay(
--- a/tests/replay/test_replay.py
+++ b/tests/replay/test_replay.py
@@ -1,4 +1,7 @@
-"""One replay: the same result twice, a kept event log, machines of the plan, clients that lag."""
+"""Guards against replays whose result depends on chance, or is scored though clients lagged.
+
+Also covers the stored event log, and the machines of a plan.
+"""
 
 from __future__ import annotations
 
@@ -17,13 +20,14 @@
 
 ROOT = Path(__file__).parents[2]
 RULES = RuleSettings(frozenset({"load"}), frozenset({"load"}))
-# Of the plan and the faults below. It changes with the decisions, the stand-ins and the checker's log; where that is
-# meant, the new one goes here, and the commit says what changed.
+# The digest of the event log for the plan and the faults below. It changes with the broker's
+# decisions, the stand-ins and the checker's log; a commit that changes it on purpose sets the new
+# one here and says what changed.
 DIGEST = "792b2463d24773755c04e7663339e588"
 
 
-def test_replay_gives_same_digest_whatever_the_hash_seed(tmp_path):
-    path, found = tmp_path / "p.plan", []
+def test_replay_gives_same_digest_for_any_hash_seed(tmp_path):
+    path, results = tmp_path / "p.plan", []
     plan_of().save(str(path))
     script = (
         "import json, sys; from tests.replay.plans import FAULTS, Plan;"
@@ -33,7 +37,7 @@
         "print(json.dumps([r['digest'], r['service'], r['answers'], r['rules_broken']]))"
     )
     for seed in ("0", "77"):
-        made = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-c", script, str(path)],
             env=os.environ | {"PYTHONHASHSEED": seed},
             capture_output=True,
@@ -42,29 +46,34 @@
             timeout=60,
             cwd=ROOT,
         )
-        found.append(json.loads(made.stdout))
-    assert found[0] == found[1]
-    assert found[0][3] == [] and found[0][2]["served"] > 200 and found[0][2]["left"] > 10
-    assert found[0][0] == DIGEST
+        results.append(json.loads(process.stdout))
+    assert results[0] == results[1]
+    assert results[0][3] == [] and results[0][2]["served"] > 200 and results[0][2]["left"] > 10
+    assert results[0][0] == DIGEST
 
 
-def test_replay_log_checks_the_same_when_read_again():
+def test_event_log_gives_same_digest_when_it_is_checked_again():
     result = run_replay(
         plan_of(3.0), ReplayOptions(engine_count=4, keep_event_log=True, faults=FAULTS[:2])
     )
-    again = check_log(RULES, result["log"])
+    rechecked = check_log(RULES, result["log"])
     assert (
-        again.digest == result["digest"]
-        and not again.breaches.recorded
+        rechecked.digest == result["digest"]
+        and not rechecked.breaches.recorded
         and not result["rules_broken"]
     )
-    assert not again.requests.by_id or all(each.outcome for each in again.requests.by_id.values())
+    assert not rechecked.requests.by_id or all(
+        each.outcome for each in rechecked.requests.by_id.values()
+    )
 
 
 def test_replay_restarts_machines_of_the_plan_under_their_id():
     plan = plan_of()
     plan.machines = [
-        *(MachineEvent(0, f"m-{n}", "ADD", "std-16" if n == 2 else "std-8") for n in range(5)),
+        *(
+            MachineEvent(0, f"m-{number}", "ADD", "std-16" if number == 2 else "std-8")
+            for number in range(5)
+        ),
         MachineEvent(2_000_000, "m-1", "REMOVE", None),
         MachineEvent(3_500_000, "m-1", "ADD", "std-8"),
     ]
@@ -76,13 +85,13 @@
 
 
 def test_replay_is_not_scored_when_clients_cannot_keep_pace():
-    stage = Replay(plan_of(1.0), ReplayOptions(engine_count=3))
-    stage.play()
-    assert stage.document()["service"] is not None
-    stage.driver.lags_ms += [800.0] * 5
-    found = stage.document()
+    replay = Replay(plan_of(1.0), ReplayOptions(engine_count=3))
+    replay.play()
+    assert replay.document()["service"] is not None
+    replay.driver.lags_ms += [800.0] * 5
+    document = replay.document()
     assert (
-        found["service"] is None
-        and not found["kept_pace"]
-        and found["by_class"]["lookup"]["service"] is None
+        document["service"] is None
+        and not document["kept_pace"]
+        and document["by_class"]["lookup"]["service"] is None
     )
--- a/tests/standin/test_machine.py
+++ b/tests/standin/test_machine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's machine."""
+"""Guards against a stand-in engine whose query times, queue or limits differ from its model."""
 
 from __future__ import annotations
 
@@ -33,26 +33,26 @@
         assert machine.offer(0.0, work(name)) is Admission.RUNNING
     assert ends(machine) == {"a": 100, "b": 100, "c": 100}
     machine = Machine(MachineShape(2, 1000, knee=1.5, thrash=0.5), 0.0)
-    for name in "abcdef":  # twice the knee: half the rate, and half of that lost by 1.5
+    for name in "abcdef":  # twice the knee: half the rate, divided by 1.5 for thrashing
         machine.offer(0.0, work(name))
     assert ends(machine) == dict.fromkeys("abcdef", 300.0)
 
 
 def test_machine_is_slower_while_warming_up():
-    cold, warm = (
-        Machine(MachineShape(1, 1000, knee=1.0, warm_up_ms=1000.0), 0.0, warming_up=c)
-        for c in (True, False)
+    warming_machine, warm_machine = (
+        Machine(MachineShape(1, 1000, knee=1.0, warm_up_ms=1000.0), 0.0, warming_up=warming_up)
+        for warming_up in (True, False)
     )
-    for machine in (cold, warm):
+    for machine in (warming_machine, warm_machine):
         machine.offer(0.0, work("a", 500.0))
-    assert ends(warm)["a"] == 500.0 and 550 < ends(cold)["a"] < 1500
+    assert ends(warm_machine)["a"] == 500.0 and 550 < ends(warming_machine)["a"] < 1500
 
 
 def test_machine_queues_for_memory_in_order_and_for_a_group_alone():
     machine = Machine(MachineShape(8, 100), 0.0)
     assert machine.offer(0.0, work("a", memory=80)) is Admission.RUNNING
     assert machine.offer(0.0, work("b", memory=50)) is Admission.QUEUED
-    assert machine.offer(0.0, work("c", memory=1)) is Admission.QUEUED  # in turn
+    assert machine.offer(0.0, work("c", memory=1)) is Admission.QUEUED  # behind b
     assert machine.offer(0.0, work("d", memory=1, until=50.0)) is Admission.QUEUED
     progress = machine.advance(100.0)
     assert [each.name for each in progress.ended + progress.started + progress.expired] == [
