--- a/tests/replay/test_replay.py
+++ b/tests/replay/test_replay.py
@@ -1,4 +1,4 @@
-"""Guards against replays whose result depends on chance, or is scored though clients lagged.
+"""Guards against replays that depend on hash order, or are scored though their clients lagged.
 
 Also covers the stored event log, and the machines of a plan.
 """
--- a/umberusher/standin/statements.py
+++ b/umberusher/standin/statements.py
@@ -12,9 +12,7 @@
 import xxhash
 
 MAX_PAGE_BYTES = 6_000
-LONG_RESULT_ONE_IN = (
-    20  # one statement in this many has a long result, which may take several pages
-)
+LONG_RESULT_ONE_IN = 20  # statements with a long result, which may take several pages
 _WORK = re.compile(rb"/\* work=([0-9.]+) memory=([0-9.]+) threads=([0-9]+) holds=(-?[0-9]+) \*/")
 
 
