--- a/umberusher/replay/fault_injector.py
+++ b/umberusher/replay/fault_injector.py
@@ -1,4 +1,4 @@
-"""Lets the faults of a script, and the machine events of a plan, happen at their times."""
+"""Injects the faults of a script, and the machine events of a plan, at their times."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from umberusher.standin.engine import Engine
 from umberusher.traces.plan import MachineEvent
 
-SLOW_READER_TURNS_PER_S = 10
+SLOW_READS_PER_S = 10
 
 
 class FaultInjector:
-    """Schedules faults and machine events, and carries them out."""
+    """Schedules faults and machine events, and applies them."""
 
     def __init__(
         self, fleet: EngineFleet, brokers: BrokerHost, clock: ReplayClock, notes: Counter[str]
@@ -42,7 +42,7 @@
         """Schedule all faults and machine events.
 
         Raises:
-            UsageError: A fault names an engine that is not there.
+            UsageError: A fault names an engine that doesn't exist.
         """
         for fault in faults:
             if fault.kind is not FaultKind.STALL and fault.node not in self._fleet.engines:
@@ -72,7 +72,7 @@
 
     def _make_unresponsive(self, fault: Fault, engine: Engine) -> None:
         engine.faults.unresponsive = True
-        self._call_at_s(fault.until, engine.respond_again)
+        self._call_at_s(fault.until, engine.resume_answers)
 
     def _reset_connections(self, _fault: Fault, engine: Engine) -> None:
         engine.reset_connections()
@@ -81,7 +81,7 @@
         engine.faults.cut_result_after_bytes = int(fault.after)
 
     def _delay_reports(self, fault: Fault, engine: Engine) -> None:
-        # Those of this incarnation: an engine that has started again has none.
+        # The faults of this incarnation: an engine that has started again has none.
         faults = engine.faults
         faults.report_delay_ms = fault.by_ms
 
@@ -109,7 +109,7 @@
         self._call_at_s(fault.until, end)
 
     def _read_slowly(self, fault: Fault, engine: Engine) -> None:
-        engine.read_slowly(max(round(fault.rate / SLOW_READER_TURNS_PER_S), 1))
+        engine.read_slowly(max(round(fault.rate / SLOW_READS_PER_S), 1))
         self._call_at_s(fault.until, lambda: engine.read_slowly(0))
 
     def _crash(self, fault: Fault, engine: Engine) -> None:
--- a/umberusher/replay/key_spacing.py
+++ b/umberusher/replay/key_spacing.py
@@ -1,4 +1,4 @@
-"""Clients write requests of one key some time apart."""
+"""The minimum interval between the clients' requests of one key."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
         # Requests that had to wait for their key.
         self.delay_count = 0
 
-    def reserve(self, key: str, wanted_ms: float, now_ms: float) -> float:
+    def reserve(self, key: str, earliest_ms: float, now_ms: float) -> float:
         """Reserve a key's next free time at or after the wanted one; return it."""
         free_at_ms = self._free_at_ms.get(key, 0.0)
-        start_ms = max(free_at_ms, wanted_ms)
+        start_ms = max(free_at_ms, earliest_ms)
         self._free_at_ms[key] = start_ms + KEY_INTERVAL_MS
-        if free_at_ms > wanted_ms:
+        if free_at_ms > earliest_ms:
             self.delay_count += 1
         if len(self._free_at_ms) > MAX_KEYS:
             self._free_at_ms = {
@@ -33,10 +33,9 @@
         return start_ms
 
     def write(self, key: str, now_ms: float) -> float:
-        """Note that a key is written now; return how long to wait instead, 0 if it may be.
+        """Record a write of a key now and return 0, or return how long to wait before it.
 
-        Guards the clients' own rule after a stall of everybody, when all that was due fires at
-        once.
+        This keeps the interval after a stall of all parties, when all due timers fire at once.
         """
         since_ms = now_ms - self._written_at_ms.get(key, -KEY_INTERVAL_MS)
         if since_ms < KEY_INTERVAL_MS - TIME_TOLERANCE_MS:
--- a/umberusher/replay/plans.py
+++ b/umberusher/replay/plans.py
@@ -1,4 +1,4 @@
-"""Plans out of plans: several teams' as one, a team's alone, and surges. No I/O."""
+"""Derives plans from plans: merges teams' plans, selects one team, adds surges. No I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 SURGE_SPREAD_US = 997  # between the copies of one request
 
 Row = tuple[Any, ...]
-"""Sorts by time, the team's order and the number; then class, request and team."""
+"""Time, the team's position and the request's number, which sort; then class, request and team."""
 
 
 @dataclass(slots=True)
@@ -36,12 +36,14 @@
     key_numbers = {"": 0}
     request_teams: list[str] = []
 
-    def rows(order: int, team: str, plan: Plan) -> Iterator[Row]:
+    def rows(team_order: int, team: str, plan: Plan) -> Iterator[Row]:
         for number, request in enumerate(plan.requests()):
             query_class = classes.index(plan.classes[request.query_class])
-            yield request.at_us, order, number, query_class, request, team
+            yield request.at_us, team_order, number, query_class, request, team
 
-    sources = (rows(order, team, plan) for order, (team, plan) in enumerate(plans.items()))
+    sources = (
+        rows(team_order, team, plan) for team_order, (team, plan) in enumerate(plans.items())
+    )
     for at_us, _, _, query_class, request, team in heapq.merge(*sources):
         key = key_numbers.setdefault(request.key, len(key_numbers))
         merged.append(
@@ -59,7 +61,7 @@
 
 
 def select_team(merged: MergedPlan, team: str) -> Plan:
-    """Return a team's requests alone, with the machines of the whole."""
+    """Return a team's requests alone, with the machines of the merged plan."""
     plan = merged.plan
     selected = Plan(plan.classes, machines=plan.machines, keys=plan.keys)
     for name, column in plan.columns.items():
--- a/umberusher/replay/score.py
+++ b/umberusher/replay/score.py
@@ -20,7 +20,7 @@
 
 
 class Ending(StrEnum):
-    """How a request counts; the values stand in result files."""
+    """How a request counts; the values are written to result files."""
 
     SERVED = "served"
     LATE = "late"
@@ -50,7 +50,7 @@
     latencies_ms: list[float] = field(default_factory=list)
 
     def document(self) -> dict[str, Any]:
-        """Return the figures as JSON."""
+        """Return the scores as JSON."""
         service = round(100 * self.earned / self.requested, 2) if self.requested else None
         return {
             "requests": self.requests,
@@ -61,7 +61,7 @@
 
 
 class Score:
-    """Takes first attempts and what became of them; ``document`` gives the figures."""
+    """Adds up requests and their outcomes; ``document`` returns the scores."""
 
     def __init__(self) -> None:
         self._by_class = {name: ClassScore() for name in site.CLASS_NAMES}
@@ -73,20 +73,25 @@
         self._disconnected_count = 0
 
     def add(
-        self, query_class: str, arrived_ms: float, outcome: Outcome, took_ms: float, work_ms: float
+        self,
+        query_class: str,
+        arrived_ms: float,
+        outcome: Outcome,
+        duration_ms: float,
+        work_ms: float,
     ) -> None:
-        """Count a first attempt, its client's retries with it.
+        """Count a request, with its client's retries as a part of it.
 
         Args:
             query_class: Its class.
             arrived_ms: When it arrived, since the replay's start.
-            outcome: What became of it in the end.
-            took_ms: From its arrival to its end.
+            outcome: Its final outcome.
+            duration_ms: Time from its arrival to its end.
             work_ms: Its true work.
         """
         score = self._by_class[query_class]
         if outcome is Outcome.DISCONNECTED:
-            # By its client's own choice: nothing was owed.
+            # Its client chose to disconnect, so no answer was due.
             self._disconnected_count += 1
             score.ends[outcome.value] += 1
             return
@@ -95,9 +100,9 @@
         earned = 0.0
         if ending is Ending.SERVED:
             if len(score.latencies_ms) < MAX_LATENCY_SAMPLES:
-                score.latencies_ms.append(took_ms)
+                score.latencies_ms.append(duration_ms)
             earned = weight
-            if took_ms > _objective_ms(query_class, work_ms):
+            if duration_ms > _objective_ms(query_class, work_ms):
                 ending = Ending.LATE
                 earned = weight * site.CLASS_BY_NAME[query_class]["late_worth"]
         score.requests += 1
@@ -125,20 +130,20 @@
         requested = sum(self._requested)
         if not requested:
             return 0.0
-        whole = sum(self._earned) / requested
+        overall = sum(self._earned) / requested
         worst_class = min(
             (each.earned / each.requested for each in self._by_class.values() if each.requested),
             default=0.0,
         )
         mix = site.SCORING_MIX
         return 100.0 * (
-            mix["whole"] * whole
+            mix["whole"] * overall
             + mix["worst_window"] * self.worst_window()
             + mix["worst_class"] * worst_class
         )
 
     def document(self) -> dict[str, Any]:
-        """Return the figures as JSON."""
+        """Return the scores as JSON."""
         requested = sum(self._requested)
         return {
             "service": round(self.service(), 1),
