--- a/tests/capacity/test_measured_costs.py
+++ b/tests/capacity/test_measured_costs.py
@@ -58,7 +58,7 @@
 
 def test_estimate_is_as_sure_as_its_least_sure_part():
     sums = MeasuredCosts(
-        capacity.load_plan(str(PLAN)), capacity.PROGRAM, read_all(measurement_document())
+        capacity.load_plan(str(PLAN)), capacity.PROGRAM_CONSTANTS, read_all(measurement_document())
     )
     each = sums.cost(
         MeasurementSource("made-up", "engines listed", "us", "core us/change/broker"),
@@ -109,7 +109,9 @@
     document = measurement_document(
         "broker-control-cpu", "% of a core", unreached=[{"x": 64_000, "why": "asks in a circle"}]
     )
-    sums = MeasuredCosts(capacity.load_plan(str(PLAN)), capacity.PROGRAM, read_all(document))
+    sums = MeasuredCosts(
+        capacity.load_plan(str(PLAN)), capacity.PROGRAM_CONSTANTS, read_all(document)
+    )
     role = Role(
         "broker",
         "broker",
@@ -145,7 +147,7 @@
 def test_cost_raises_when_a_measurement_is_in_another_unit(unit, by, message):
     sums = MeasuredCosts(
         capacity.load_plan(str(PLAN)),
-        capacity.PROGRAM,
+        capacity.PROGRAM_CONSTANTS,
         read_all(measurement_document(unit=unit, by=by)),
     )
     with pytest.raises(UnitError) as caught:
@@ -156,7 +158,7 @@
 
 
 def test_evaluate_names_the_row_when_its_formula_gives_another_unit():
-    sums = MeasuredCosts(capacity.load_plan(str(PLAN)), capacity.PROGRAM, {})
+    sums = MeasuredCosts(capacity.load_plan(str(PLAN)), capacity.PROGRAM_CONSTANTS, {})
     role = Role(
         "r",
         "role",
--- a/umberusher/commands/capacity.py
+++ b/umberusher/commands/capacity.py
@@ -27,7 +27,7 @@
 from umberusher.traces.scripts import Script, ScriptError
 
 # The program's own constants: a page that tells of one is renewed with it.
-PROGRAM = {
+PROGRAM_CONSTANTS = {
     "poll_linger": Quantity.of(discovery_client.POLL_LINGER_MS, "ms"),
     "silent": Quantity.of(discovery_client.ANSWER_TIMEOUT_MS, "ms"),
     "retry_most": Quantity.of(backoff.MAX_RECONNECT_BACKOFF_MS, "ms"),
@@ -43,7 +43,7 @@
 def program_constants(plan: Plan) -> dict[str, Quantity]:
     """Return the program's constants, and those that go by the planned memory of a broker."""
     list_max_bytes = codec.max_answer_bytes(plan.control_memory.to("MB/broker"))
-    return PROGRAM | {
+    return PROGRAM_CONSTANTS | {
         "list_most": Quantity.of(list_max_bytes, "B/broker"),
         "greeting_most": Quantity.of(successor.MESSAGE_TO_LIST_RATIO * list_max_bytes, "B/broker"),
     }
