--- a/tests/commands/test_sizes.py
+++ b/tests/commands/test_sizes.py
@@ -33,4 +33,4 @@
     with pytest.raises(
         UsageError, match="1,000 descriptors are needed at the least, .* allows this process 256"
     ):
-        tools.descriptors(1000)
+        tools.ensure_descriptor_limit(1000)
--- a/tests/traces/test_traces.py
+++ b/tests/traces/test_traces.py
@@ -23,7 +23,7 @@
 from umberusher.traces.plan import Plan, PlanError
 from umberusher.traces.reader import Reader
 from umberusher.traces.scripts import Script, ScriptError
-from umberusher.traces.stats import dispersion, figures
+from umberusher.traces.stats import dispersion, plan_statistics
 
 ROOT = Path(__file__).parents[2]
 EXAMPLES, MAPPINGS = ROOT / "examples" / "traces", ROOT / "deploy" / "traces"
@@ -129,14 +129,14 @@
 
 def test_memory_is_bounded_where_a_file_puts_more_into_the_window_than_is_held(tmp_path):
     reader = Reader(TASK_EVENTS)
-    reader.order.max_rows = 100
+    reader.reorder_buffer.max_rows = 100
     path = lines(
         tmp_path,
         "".join(
             ROW.format(n).replace("600000000", str(600_000_000 + n), 1) + "\n" for n in range(1_000)
         ),
     )
-    held = [len(reader.order.queue) for _ in reader.rows([str(path)])]
+    held = [len(reader.reorder_buffer.queue) for _ in reader.rows([str(path)])]
     assert len(held) == 1_000 and max(held) <= 101
 
 
@@ -352,7 +352,7 @@
     found = {}
     for pattern in ("steady", "flash-crowd"):
         path = lines(tmp_path, "".join(f"{line}\n" for line in task_events(pattern, 60, 50, 3)))
-        found[pattern] = figures(
+        found[pattern] = plan_statistics(
             plan_of("google-2011-task-events", "google-2011-task-events.star", path)
         )
     assert found["steady"]["dispersion"]["1s"] < 2 < found["flash-crowd"]["dispersion"]["1s"]
--- a/umberusher/commands/capacity.py
+++ b/umberusher/commands/capacity.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class KeptMeasurements:
+class LoadedMeasurements:
     """The measurements of a folder.
 
     Attributes:
@@ -77,28 +77,28 @@
     faults: list[str] = field(default_factory=list)
 
 
-def load_measurements(folder: str) -> KeptMeasurements:
+def load_measurements(folder: str) -> LoadedMeasurements:
     """Return all measurements and scale runs that are kept in a folder."""
-    kept = KeptMeasurements()
+    loaded = LoadedMeasurements()
     for path in sorted(Path(folder).glob("*.json")):
         try:
-            _load_measurement(path, kept)
+            _load_measurement(path, loaded)
         except (OSError, ValueError) as error:
             # A ValueError of the checks names the file; one of the JSON decoder does not.
             text = str(error)
             message = text if text.startswith(str(path)) else f"{path}: {text}"
-            kept.faults.append(message.splitlines()[0])
-    return kept
+            loaded.faults.append(message.splitlines()[0])
+    return loaded
 
 
-def _load_measurement(path: Path, kept: KeptMeasurements) -> None:
+def _load_measurement(path: Path, loaded: LoadedMeasurements) -> None:
     raw = json.loads(path.read_text(encoding="utf-8"))
     measurement = read_measurement(raw, str(path))
     key = path.name.removesuffix(".json")
     if measurement.name != path.name.split(".")[0]:
         raise ValueError(f"{path}: name: is {measurement.name!r}, and the file has another")
-    kept.records |= _read_records(raw, key, str(path))
-    kept.measurements[key] = measurement
+    loaded.records |= _read_records(raw, key, str(path))
+    loaded.measurements[key] = measurement
 
 
 def _read_records(raw: dict[str, Any], key: str, file: str) -> dict[str, ScaleRecord]:
@@ -148,11 +148,11 @@
     Raises:
         UsageError: The plan cannot be used, or a measurement has a wrong unit.
     """
-    kept = load_measurements(args.measurements)
+    loaded = load_measurements(args.measurements)
     plan = load_plan(args.plan)
-    costs = MeasuredCosts(plan, program_constants(plan), kept.measurements, kept.records)
+    costs = MeasuredCosts(plan, program_constants(plan), loaded.measurements, loaded.records)
     try:
         tables = make_tables(ROLES, costs, EARLIER_VERSION)
     except UnitError as error:
         raise UsageError(f"{args.measurements}: {error}") from None
-    return CapacityReport(costs, tables.blocks, tables.rows, kept.faults)
+    return CapacityReport(costs, tables.blocks, tables.rows, loaded.faults)
--- a/umberusher/commands/contract_check.py
+++ b/umberusher/commands/contract_check.py
@@ -12,10 +12,10 @@
     """Print a summary and return 0; a ContractError goes to the command line's handler."""
     classes = frozenset(args.classes.split(",")) if args.classes else None
     contract = load_contract(args.contract, classes)
-    promised = sum(team.work_rate for team in contract.teams.values()) / 1000.0
+    promised_threads = sum(team.work_rate for team in contract.teams.values()) / 1000.0
     tools.out.print(
         f"{args.contract}: {len(contract.teams)} teams, "
-        f"{promised:.4g} of {contract.work_rate / 1000.0:.4g} threads promised, "
+        f"{promised_threads:.4g} of {contract.work_rate / 1000.0:.4g} threads promised, "
         f"{len(contract.windows)} date windows, strangers: {contract.default_team or 'refused'}",
         markup=False,
     )
--- a/umberusher/commands/contract_diff.py
+++ b/umberusher/commands/contract_diff.py
@@ -36,7 +36,7 @@
 def _changed_terms(before: Contract, after: Contract) -> list[dict[str, Any]]:
     old_rows = {(row["team"], row["class"]): row for row in contract_rows(before)}
     new_rows = {(row["team"], row["class"]): row for row in contract_rows(after)}
-    found: list[dict[str, Any]] = []
+    changed_values: list[dict[str, Any]] = []
     for key in sorted(old_rows.keys() | new_rows.keys()):
         team, query_class = key
         old = old_rows.get(key)
@@ -44,14 +44,14 @@
         if old is None or new is None:
             old_text = "there" if old else None
             new_text = "there" if new else None
-            found.append(_change("terms", old_text, new_text, team, query_class))
+            changed_values.append(_change("terms", old_text, new_text, team, query_class))
             continue
-        found += [
+        changed_values += [
             _change(name, old[name], new[name], team, query_class)
             for name in old
             if old[name] != new[name]
         ]
-    return found
+    return changed_values
 
 
 def _changed_capacity(before: Contract, after: Contract) -> list[dict[str, Any]]:
@@ -86,9 +86,12 @@
 
 def run(args: argparse.Namespace) -> int:
     """Print a table; return 1 where anything differs, as diff(1)."""
-    found = changes(load_contract(args.contract), load_contract(args.other))
-    tools.write_json(args.json, found)
-    if found:
-        rows = [["" if each[name] is None else each[name] for name in COLUMNS] for each in found]
+    changed_values = changes(load_contract(args.contract), load_contract(args.other))
+    tools.write_json(args.json, changed_values)
+    if changed_values:
+        rows = [
+            ["" if each[name] is None else each[name] for name in COLUMNS]
+            for each in changed_values
+        ]
         tools.table("changes", list(COLUMNS), rows)
-    return EXIT_DIFFERS if found else 0
+    return EXIT_DIFFERS if changed_values else 0
--- a/umberusher/commands/contract_simulate.py
+++ b/umberusher/commands/contract_simulate.py
@@ -22,7 +22,7 @@
 from umberusher.traces.plan import Plan
 
 
-class _Open(NamedTuple):
+class _RunningRequest(NamedTuple):
     """A request that runs; the heap orders them by end, then by number."""
 
     ends_ms: float
@@ -45,12 +45,12 @@
         RETRY_BUDGET_FLOOR, site_terms.retry_budget_ratio, site_terms.retry_budget_window_ms
     )
     admissions = [TeamAdmission(contract, brokers, 0.0, retry_terms) for _ in range(brokers)]
-    open_requests: list[_Open] = []
+    running_requests: list[_RunningRequest] = []
     rejected_by_second: dict[str, Counter[int]] = {team: Counter() for team in plans}
     for number, (at_us, class_number, work_ms, memory_mb, *_) in enumerate(plan.requests()):
         now_ms = at_us / 1e3
-        while open_requests and open_requests[0].ends_ms <= now_ms:
-            ended = heapq.heappop(open_requests)
+        while running_requests and running_requests[0].ends_ms <= now_ms:
+            ended = heapq.heappop(running_requests)
             ended.broker.settle(ended.ends_ms, ended.charge, ended.work_ms, served=True)
         team = teams[number]
         query_class = plan.classes[class_number]
@@ -61,7 +61,9 @@
         )
         if isinstance(admitted, Charge):
             ends_ms = now_ms + work_ms / threads
-            heapq.heappush(open_requests, _Open(ends_ms, number, broker, admitted, work_ms))
+            heapq.heappush(
+                running_requests, _RunningRequest(ends_ms, number, broker, admitted, work_ms)
+            )
         else:
             rejected_by_second[team][int(now_ms / 1e3)] += 1
     return {
@@ -88,26 +90,26 @@
 
 def run(args: argparse.Namespace) -> int:
     """Print a table."""
-    tools.parties("--brokers", args.brokers)
-    pairs = [each.partition("=") for each in args.team]
+    tools.check_instance_count("--brokers", args.brokers)
+    pairs = [argument.partition("=") for argument in args.team]
     if not all(separator for _, separator, _ in pairs):
         raise UsageError("--team: expected NAME=PLAN")
     plans = {name: Plan.load(path) for name, _, path in pairs}
-    found = simulate(load_contract(args.contract), plans, args.brokers)
-    tools.write_json(args.json, found)
+    results = simulate(load_contract(args.contract), plans, args.brokers)
+    tools.write_json(args.json, results)
     tools.table(
         "by the budgets alone",
         ["team", "asked", "own", "borrowed", "refused", "worst second"],
         [
             [
                 team,
-                each["asked"],
-                each["own"],
-                each["borrowed"],
-                ", ".join(f"{reason} {count}" for reason, count in each["refused"].items()) or 0,
-                each["worst_second"],
+                result["asked"],
+                result["own"],
+                result["borrowed"],
+                ", ".join(f"{reason} {count}" for reason, count in result["refused"].items()) or 0,
+                result["worst_second"],
             ]
-            for team, each in found.items()
+            for team, result in results.items()
         ],
     )
     return 0
--- a/umberusher/commands/demo.py
+++ b/umberusher/commands/demo.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from umberusher.commands import tools
-from umberusher.commands.trace_replay import show
+from umberusher.commands.trace_replay import print_result
 from umberusher.replay import report
 from umberusher.replay.faults import Fault, FaultKind
 from umberusher.replay.options import ReplayOptions
@@ -40,7 +40,7 @@
 
 def run(args: argparse.Namespace) -> int:
     """Play it; under a minute on one core."""
-    tools.log_to(args.log_format)
+    tools.configure_log(args.log_format)
     with tempfile.TemporaryDirectory(prefix="umberusher-demo-") as folder:
         trace, script = Path(folder) / "demo-task-events.csv", Path(folder) / "demo.star"
         trace.write_text(
@@ -65,9 +65,9 @@
     )
     with tools.progress("replaying") as bar:
         task = bar.add_task("", total=len(plan))
-        found = run_replay(plan, options, lambda done: bar.update(task, completed=done))
-    show(found)
+        result = run_replay(plan, options, lambda done: bar.update(task, completed=done))
+    print_result(result)
     page = Path(args.report) / "replay.html"
-    tools.write(page, report.page("demo", plan, found, options))
+    tools.write(page, report.page("demo", plan, result, options))
     tools.out.print(f"report: {page}", markup=False)
-    return 1 if found["rules_broken"] else 0
+    return 1 if result["rules_broken"] else 0
--- a/umberusher/commands/scale_run.py
+++ b/umberusher/commands/scale_run.py
@@ -38,8 +38,8 @@
     "attempts to what was told as gone",
     "rules broken",
 )
-TABLE_HEADS = ["figure", "value", "unit"]
-DESCRIPTIONS_MAX = 20  # broken rules that the JSON describes
+TABLE_HEADERS = ["figure", "value", "unit"]
+MAX_DESCRIPTIONS = 20  # broken rules that the JSON describes
 
 
 class Exit(IntEnum):
@@ -52,7 +52,7 @@
 
 def run(args: argparse.Namespace) -> int:
     """Play a plan and write its results; return how the command ends."""
-    log = tools.log_to(args.log_format)
+    log = tools.configure_log(args.log_format)
     plan = _read_plan(args)
     # A plan's own signal handling: SIGTERM ends the run as Ctrl-C does, with its workers.
     previous_handler = signal.signal(signal.SIGTERM, signal.default_int_handler)
@@ -74,7 +74,7 @@
 
         real_figures = play_real(plan, plan.real)
     signal.signal(signal.SIGTERM, previous_handler)
-    show(result, real_figures)
+    print_result(result, real_figures)
     tools.write_json(args.json, _document(args, plan, result, real_figures))
     if args.plot:
         from umberusher.scale import plot
@@ -149,7 +149,7 @@
             scene: [dict(sorted(outcomes.items())) for outcomes in counts.outcomes_by_second]
             for scene, counts in result.counts.items()
         },
-        "breaches": descriptions[:DESCRIPTIONS_MAX],
+        "breaches": descriptions[:MAX_DESCRIPTIONS],
     }
     return record(
         f"scale-{args.name or Path(args.plan).stem}",
@@ -161,7 +161,7 @@
     )
 
 
-def show(result: RunResult, real: Figures) -> None:
+def print_result(result: RunResult, real: Figures) -> None:
     """Print the main figures as tables."""
     resources = result.resources
     if resources:
@@ -176,9 +176,9 @@
         tools.out.print(f"stopped: {result.stop_reason}", markup=False)
     for scene, figures in result.scenes.items():
         shown = {name: figures[name] for name in SHOWN_FIGURES if name in figures}
-        tools.table(scene, TABLE_HEADS, _rows(shown))
+        tools.table(scene, TABLE_HEADERS, _rows(shown))
     if real:
-        tools.table("real brokers, wall clock", TABLE_HEADS, _rows(real))
+        tools.table("real brokers, wall clock", TABLE_HEADERS, _rows(real))
 
 
 def _rows(figures: Figures) -> list[list[Any]]:
--- a/umberusher/commands/tools.py
+++ b/umberusher/commands/tools.py
@@ -16,22 +16,22 @@
 
 from umberusher.errors import UsageError
 
-PARTIES_MOST = 1_024  # nodes, and brokers, of one call: a pair may hold connections, all of them on this machine
+MAX_INSTANCES = 1_024  # nodes, and brokers, of one call: a pair may hold connections, all of them on this machine
 out = Console(highlight=False, soft_wrap=True, width=None if sys.stdout.isatty() else 140)
 
 
-def log_to(form: str, level: int = logging.INFO) -> Any:
+def configure_log(log_format: str, level: int = logging.INFO) -> Any:
     """The log on standard error, as text or as a JSON line each."""
-    shown = (
+    renderer = (
         structlog.processors.JSONRenderer(sort_keys=True)
-        if form == "json"
+        if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            shown,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
@@ -39,11 +39,11 @@
     return structlog.get_logger()
 
 
-def progress(told: str) -> Progress:
+def progress(description: str) -> Progress:
     """A bar on standard error, shown only to a terminal."""
     console = Console(stderr=True)
     return Progress(
-        TextColumn(told),
+        TextColumn(description),
         BarColumn(),
         MofNCompleteColumn(),
         TimeElapsedColumn(),
@@ -53,23 +53,23 @@
     )
 
 
-def parties(option: str, count: int) -> int:
+def check_instance_count(option: str, count: int) -> int:
     """A number of nodes or brokers; UsageError where it is out of range."""
-    if not 1 <= count <= PARTIES_MOST:
-        raise UsageError(f"{option}: expected 1 to {PARTIES_MOST:,}, got {count:,}")
+    if not 1 <= count <= MAX_INSTANCES:
+        raise UsageError(f"{option}: expected 1 to {MAX_INSTANCES:,}, got {count:,}")
     return count
 
 
-def descriptors(wanted: int) -> None:
+def ensure_descriptor_limit(required: int) -> None:
     """Let this process have so many; UsageError where the system won't."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = wanted if hard == resource.RLIM_INFINITY else hard
-    if wanted > most:
+    target = required if hard == resource.RLIM_INFINITY else hard
+    if required > target:
         raise UsageError(
-            f"{wanted:,} descriptors are needed at the least, the system allows this process {hard:,}"
+            f"{required:,} descriptors are needed at the least, the system allows this process {hard:,}"
         )
-    if soft != resource.RLIM_INFINITY and soft < most:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
+    if soft != resource.RLIM_INFINITY and soft < target:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (target, hard))
 
 
 def write_json(path: str | None, value: Any) -> None:
@@ -87,11 +87,11 @@
         raise UsageError(f"{path}: {error.strerror}") from None
 
 
-def table(title: str, heads: list[str], rows: list[list[Any]]) -> None:
+def table(title: str, headers: list[str], rows: list[list[Any]]) -> None:
     """A table on standard output; columns after the first are figures."""
-    made = Table(title=title, title_justify="left")
-    for number, head in enumerate(heads):
-        made.add_column(head, justify="right" if number else "left")
+    rich_table = Table(title=title, title_justify="left")
+    for number, header in enumerate(headers):
+        rich_table.add_column(header, justify="right" if number else "left")
     for row in rows:
-        made.add_row(*map(str, row))
-    out.print(made)
+        rich_table.add_row(*map(str, row))
+    out.print(rich_table)
--- a/umberusher/commands/trace_check.py
+++ b/umberusher/commands/trace_check.py
@@ -33,7 +33,7 @@
     return Reader(LAYOUTS[layout], reorder_s=args.reorder_s, strict=args.strict, progress=progress)
 
 
-def show(tally: Tally) -> None:
+def print_tally(tally: Tally) -> None:
     """Print a tally's counts and first places."""
     tools.out.print(
         f"rows {tally.rows}  kept {tally.kept}  reordered {tally.reordered}  "
@@ -56,14 +56,14 @@
         )
 
 
-def verdict(tally: Tally, most: float) -> int:
+def exit_code_for(tally: Tally, max_rejected_fraction: float) -> int:
     """Exit 1 over the stated share of rejects, or where a row is not accounted for."""
     if not tally.balanced:
         tools.out.print("fault of the reader: rows are not kept + rejected")
         return 1
-    if tally.rejected_fraction > most:
+    if tally.rejected_fraction > max_rejected_fraction:
         tools.out.print(
-            f"{100 * tally.rejected_fraction:.2f}% rejected, over the {100 * most:g}% of --max-rejects"
+            f"{100 * tally.rejected_fraction:.2f}% rejected, over the {100 * max_rejected_fraction:g}% of --max-rejects"
         )
         return 1
     return 0
@@ -71,33 +71,33 @@
 
 def run(args: argparse.Namespace) -> int:
     """Check; 0 good, 1 too many rejects or a first defect under ``--strict``."""
-    log = tools.log_to(args.log_format)
-    begun = time.monotonic()
+    log = tools.configure_log(args.log_format)
+    started_s = time.monotonic()
     total = sum(Path(path).stat().st_size for path in args.files if Path(path).exists())
     with tools.progress("checking") as bar:
         task, done = bar.add_task("", total=total), [0, 0]
 
-        def at(size: int) -> None:
-            if size < done[1]:
+        def report_position(position: int) -> None:
+            if position < done[1]:
                 done[0] += done[1]
-            done[1] = size
-            bar.update(task, completed=done[0] + size)
+            done[1] = position
+            bar.update(task, completed=done[0] + position)
 
-        reader = checked_reader(args, args.layout, at)
+        reader = checked_reader(args, args.layout, report_position)
         try:
             if args.mapping:
                 builder = Builder(Mapping.load(args.mapping, None), reader, BuildOptions())
-                builder.keeps_requests = False
+                builder.stores_requests = False
                 builder.read(args.files)
             else:
                 for _ in reader.rows(args.files):
                     pass
-        except StrictError as fault:
+        except StrictError as error:
             tools.write_json(args.json, reader.tally.document())
-            tools.out.print(f"{fault}", markup=False)
+            tools.out.print(f"{error}", markup=False)
             return 1
-    seconds = time.monotonic() - begun
+    seconds = time.monotonic() - started_s
     log.info("checked", rows=reader.tally.rows, seconds=round(seconds, 2), files=len(args.files))
     tools.write_json(args.json, reader.tally.document())
-    show(reader.tally)
-    return verdict(reader.tally, args.max_rejects)
+    print_tally(reader.tally)
+    return exit_code_for(reader.tally, args.max_rejects)
--- a/umberusher/commands/trace_compare.py
+++ b/umberusher/commands/trace_compare.py
@@ -6,7 +6,7 @@
 import os
 
 from umberusher.commands import tools
-from umberusher.commands.trace_replay import options
+from umberusher.commands.trace_replay import replay_options
 from umberusher.errors import UsageError
 from umberusher.replay import compare
 from umberusher.traces.plan import Plan
@@ -14,24 +14,24 @@
 
 def run(args: argparse.Namespace) -> int:
     """Play all; 1 where a rule is broken in any."""
-    log = tools.log_to(args.log_format)
+    log = tools.configure_log(args.log_format)
     Plan.load(args.plan)  # guards against learning in every process that it is none
-    chosen = compare.variations(options(args), compare.parse(args.vary))
+    variants = compare.variations(replay_options(args), compare.parse(args.vary))
     if args.clock == "wall" and args.jobs != 1:
         raise UsageError("--clock wall: replays side by side would slow each other; give --jobs 1")
-    jobs = min(args.jobs or os.cpu_count() or 1, len(chosen))
+    jobs = min(args.jobs or os.cpu_count() or 1, len(variants))
     with tools.progress("comparing") as bar:
-        task = bar.add_task("", total=len(chosen))
-        results = compare.run_all(args.plan, chosen, jobs, lambda: bar.advance(task))
-    rows = compare.summary([each.settings for each in chosen], results)
-    log.info("compared", replays=len(chosen), jobs=jobs)
+        task = bar.add_task("", total=len(variants))
+        results = compare.run_all(args.plan, variants, jobs, lambda: bar.advance(task))
+    rows = compare.summary([each.settings for each in variants], results)
+    log.info("compared", replays=len(variants), jobs=jobs)
     tools.write_json(
         args.json,
         {
             "rows": rows,
             "runs": [
                 {"settings": each.settings} | result
-                for each, result in zip(chosen, results, strict=True)
+                for each, result in zip(variants, results, strict=True)
             ],
         },
     )
--- a/umberusher/commands/trace_layouts.py
+++ b/umberusher/commands/trace_layouts.py
@@ -23,10 +23,10 @@
                         each.name,
                         each.kind,
                         each.unit or "-",
-                        "yes" if each.empty else "no",
+                        "yes" if each.optional else "no",
                         *(
-                            ["-", ", ".join(each.words)]
-                            if each.words
+                            ["-", ", ".join(each.known_values)]
+                            if each.known_values
                             else [
                                 "-" if bound is None else f"{bound:g}"
                                 for bound in (each.low, each.high)
--- a/umberusher/commands/trace_plan.py
+++ b/umberusher/commands/trace_plan.py
@@ -5,7 +5,7 @@
 import argparse
 
 from umberusher.commands import tools
-from umberusher.commands.trace_check import checked_reader, show, verdict
+from umberusher.commands.trace_check import checked_reader, exit_code_for, print_tally
 from umberusher.errors import UsageError
 from umberusher.replay.site import CLASS_NAMES
 from umberusher.traces.builder import Builder, BuildOptions, parse_window
@@ -17,7 +17,7 @@
 
 def run(args: argparse.Namespace) -> int:
     """Compile; 1 where a defect is not accepted."""
-    log = tools.log_to(args.log_format)
+    log = tools.configure_log(args.log_format)
     for name, low, high in (
         ("rate", 0.001, 1e6),
         ("thin", 0.0001, 1.0),
@@ -35,13 +35,13 @@
     )
     reader = checked_reader(args, args.layout)
     builder = Builder(Mapping.load(args.mapping, CLASS_NAMES), reader, options)
-    fleet = checked_reader(args, "google-2011-machine-events")
+    machine_reader = checked_reader(args, "google-2011-machine-events")
     try:
         builder.read(args.files)
         script = Script.load(args.machine_mapping) if args.machine_mapping else None
-        machines = read_machines(args.machines, fleet, script) if args.machines else []
-    except StrictError as fault:
-        tools.out.print(f"{fault}", markup=False)
+        machines = read_machines(args.machines, machine_reader, script) if args.machines else []
+    except StrictError as error:
+        tools.out.print(f"{error}", markup=False)
         return 1
     plan = builder.plan(args.files, machines)
     size = plan.save(args.output)
@@ -52,8 +52,11 @@
         bytes=size,
         digest=plan.digest,
     )
-    for tally in (reader.tally, *([fleet.tally] if args.machines else [])):
-        show(tally)
-    for why, count in builder.left_out.most_common():
-        tools.out.print(f"left out: {why}: {count}", markup=False)
-    return max(verdict(reader.tally, args.max_rejects), verdict(fleet.tally, args.max_rejects))
+    for tally in (reader.tally, *([machine_reader.tally] if args.machines else [])):
+        print_tally(tally)
+    for reason, count in builder.skipped_counts.most_common():
+        tools.out.print(f"left out: {reason}: {count}", markup=False)
+    return max(
+        exit_code_for(reader.tally, args.max_rejects),
+        exit_code_for(machine_reader.tally, args.max_rejects),
+    )
--- a/umberusher/commands/trace_replay.py
+++ b/umberusher/commands/trace_replay.py
@@ -16,17 +16,17 @@
 from umberusher.replay.replay import run_replay
 from umberusher.traces.plan import Plan
 
-EXIT_UNSCORED, EXIT_BROKEN = 3, 1
-RESERVED, BROKER_FDS = (
+EXIT_NOT_SCORED, EXIT_RULE_BROKEN = 3, 1
+RESERVED_DESCRIPTORS, DESCRIPTORS_PER_BROKER = (
     64,
     24,
 )  # descriptors of this process; of a broker, its board and its clients at first
 
 
-def options(args: argparse.Namespace) -> ReplayOptions:
+def replay_options(args: argparse.Namespace) -> ReplayOptions:
     """The options of a replay; UsageError where they make no sense."""
-    tools.parties("--nodes", args.nodes)
-    tools.parties("--brokers", args.brokers)
+    tools.check_instance_count("--nodes", args.nodes)
+    tools.check_instance_count("--brokers", args.brokers)
     if not 0 <= args.leave <= 1 or not 0 <= args.tight <= 1:
         raise UsageError("--leave, --tight: expected a share from 0 to 1")
     return ReplayOptions(
@@ -45,18 +45,18 @@
     )
 
 
-def show(found: dict[str, Any]) -> None:
+def print_result(result: dict[str, Any]) -> None:
     """Print a result as tables."""
-    scored = "not scored" if found["service"] is None else f"service {found['service']}"
+    scored = "not scored" if result["service"] is None else f"service {result['service']}"
     tools.out.print(
-        f"{scored}  played {found['played']}/{found['planned']} requests on the {found['clock']} clock in "
-        f"{found['took_s']} s  attempts {found['attempts']}  digest {found['digest']}"
+        f"{scored}  played {result['played']}/{result['planned']} requests on the {result['clock']} clock in "
+        f"{result['took_s']} s  attempts {result['attempts']}  digest {result['digest']}"
     )
-    if found["partial"]:
+    if result["partial"]:
         tools.out.print("PARTIAL: stopped before the end of the plan")
-    if not found["kept_pace"]:
+    if not result["kept_pace"]:
         tools.out.print(
-            f"NOT SCORED: the clients could not keep pace: {found['client_lag_ms']} ms late"
+            f"NOT SCORED: the clients could not keep pace: {result['client_lag_ms']} ms late"
         )
     tools.table(
         "classes",
@@ -84,23 +84,23 @@
                 each["latency_ms"].get("p50", "-"),
                 each["latency_ms"].get("p99", "-"),
             ]
-            for name, each in found["by_class"].items()
+            for name, each in result["by_class"].items()
         ],
     )
-    if found["teams"]:
+    if result["teams"]:
         tools.table(
             "teams",
             ["team", "requests", "service", "whole", "worst 10 s"],
             [
                 [name, each["requests"], each["service"], each["whole"], each["worst_10s"]]
-                for name, each in found["teams"].items()
+                for name, each in result["teams"].items()
             ],
         )
-    if found["breaches"] or found["rules_broken"]:
+    if result["breaches"] or result["rules_broken"]:
         tools.table(
-            "RULES BROKEN", ["rule", "times"], [[rule, n] for rule, n in found["breaches"].items()]
+            "RULES BROKEN", ["rule", "times"], [[rule, n] for rule, n in result["breaches"].items()]
         )
-        for each in found["rules_broken"][:10]:
+        for each in result["rules_broken"][:10]:
             tools.out.print(f"  {each['at_ms']} ms  {each['rule']}: {each['what']}", markup=False)
     else:
         tools.out.print("rules: all kept, by what crossed the sockets")
@@ -108,50 +108,55 @@
 
 def run(args: argparse.Namespace) -> int:
     """Play; 0 scored, 1 a rule is broken, 3 nothing was scored."""
-    log = tools.log_to(args.log_format)
-    chosen, plan = options(args), Plan.load(args.plan)
-    tools.descriptors(RESERVED + chosen.engine_count + chosen.broker_count * BROKER_FDS)
-    chosen.keep_event_log = bool(args.wire_log)
-    chosen.keep_request_events = bool(args.deadline_log)
+    log = tools.configure_log(args.log_format)
+    options, plan = replay_options(args), Plan.load(args.plan)
+    tools.ensure_descriptor_limit(
+        RESERVED_DESCRIPTORS + options.engine_count + options.broker_count * DESCRIPTORS_PER_BROKER
+    )
+    options.keep_event_log = bool(args.wire_log)
+    options.keep_request_events = bool(args.deadline_log)
     if args.team:
         plans = {args.first: plan} | {
             name: Plan.load(path) for name, _, path in (each.partition("=") for each in args.team)
         }
         merged = merge(plans)
         plan = merged.plan
-        chosen.request_teams = merged.request_teams
-    chosen.contract_path = args.contract
-    before = signal.signal(signal.SIGTERM, signal.default_int_handler)  # told to end: as by Ctrl-C
+        options.request_teams = merged.request_teams
+    options.contract_path = args.contract
+    previous_handler = signal.signal(
+        signal.SIGTERM, signal.default_int_handler
+    )  # told to end: as by Ctrl-C
     with tools.progress("replaying") as bar:
         task = bar.add_task("", total=len(plan))
-        found = run_replay(plan, chosen, lambda done: bar.update(task, completed=done))
-    signal.signal(signal.SIGTERM, before)
-    lines = found.pop("log", None)
+        result = run_replay(plan, options, lambda done: bar.update(task, completed=done))
+    signal.signal(signal.SIGTERM, previous_handler)
+    lines = result.pop("log", None)
     if args.wire_log:
         tools.write(args.wire_log, "\n".join(lines).encode() + b"\n")
-    stories = found.pop("stories", None)
+    request_events = result.pop("stories", None)
     if args.deadline_log:
         tools.write(
-            args.deadline_log, "".join(json.dumps(each) + "\n" for each in stories or ()).encode()
+            args.deadline_log,
+            "".join(json.dumps(each) + "\n" for each in request_events or ()).encode(),
         )
     log.info(
         "replayed",
-        service=found["service"],
-        took_s=found["took_s"],
-        rules_broken=len(found["rules_broken"]),
-        digest=found["digest"],
+        service=result["service"],
+        took_s=result["took_s"],
+        rules_broken=len(result["rules_broken"]),
+        digest=result["digest"],
     )
-    tools.write_json(args.json, found)
-    show(found)
+    tools.write_json(args.json, result)
+    print_result(result)
     if args.report:
         from umberusher.replay import report
 
         tools.write(
             Path(args.report) / "replay.html",
-            report.page(Path(args.plan).name, plan, found, chosen),
+            report.page(Path(args.plan).name, plan, result, options),
         )
-        tools.write_json(str(Path(args.report) / "replay.json"), found)
+        tools.write_json(str(Path(args.report) / "replay.json"), result)
         tools.out.print(f"report: {Path(args.report) / 'replay.html'}", markup=False)
-    if found["rules_broken"]:
-        return EXIT_BROKEN
-    return EXIT_UNSCORED if found["service"] is None else 0
+    if result["rules_broken"]:
+        return EXIT_RULE_BROKEN
+    return EXIT_NOT_SCORED if result["service"] is None else 0
--- a/umberusher/commands/trace_stats.py
+++ b/umberusher/commands/trace_stats.py
@@ -7,19 +7,19 @@
 
 from umberusher.commands import tools
 from umberusher.traces.plan import Plan
-from umberusher.traces.stats import counts, figures, work_by_class
+from umberusher.traces.stats import arrival_counts, plan_statistics, work_by_class
 
 
 def run(args: argparse.Namespace) -> int:
     """Print the figures; write JSON and plots where asked."""
     plan = Plan.load(args.plan)
-    found = figures(plan)
-    tools.write_json(args.json, found)
+    statistics = plan_statistics(plan)
+    tools.write_json(args.json, statistics)
     tools.table(
         Path(args.plan).name,
         ["figure", "value"],
-        [[name, value] for name, value in found.items() if not isinstance(value, dict)]
-        + [[f"dispersion {width}", value] for width, value in found["dispersion"].items()],
+        [[name, value] for name, value in statistics.items() if not isinstance(value, dict)]
+        + [[f"dispersion {width}", value] for width, value in statistics["dispersion"].items()],
     )
     tools.table(
         "classes",
@@ -32,19 +32,20 @@
                 each["mean_work_ms"],
                 *(each["work_ms"].get(point, "-") for point in ("p50", "p99", "p100")),
             ]
-            for name, each in found["by_class"].items()
+            for name, each in statistics["by_class"].items()
         ],
     )
     if args.plots:
         from umberusher.traces import plots
 
-        rate = counts(plan, 1.0)
+        rate = arrival_counts(plan, 1.0)
         work = work_by_class(plan)
         tools.write(
             Path(args.plots) / "rate.svg",
             plots.series("arrivals", range(len(rate)), {"a second": rate}, y_label="requests"),
         )
         tools.write(
-            Path(args.plots) / "work.svg", plots.steps("work", work, x_label="ms of one thread")
+            Path(args.plots) / "work.svg",
+            plots.cumulative_distribution("work", work, x_label="ms of one thread"),
         )
     return 0
--- a/umberusher/traces/azure.py
+++ b/umberusher/traces/azure.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class LookUpTables:
+class LookupTables:
     """The tables that invocations are joined with; bounded by the functions and applications."""
 
     durations_ms: dict[FunctionId, list[float]] = field(default_factory=dict)
--- a/umberusher/traces/builder.py
+++ b/umberusher/traces/builder.py
@@ -15,19 +15,19 @@
 import xxhash
 
 from umberusher.errors import UsageError
-from umberusher.traces.azure import AppId, FunctionId, LookUpTables, draw_invocations
+from umberusher.traces.azure import AppId, FunctionId, LookupTables, draw_invocations
 from umberusher.traces.defects import DefectReason
 from umberusher.traces.hashing import hash_text
 from umberusher.traces.layouts import AFTER_WINDOW, AZURE, US_PER_SECOND
-from umberusher.traces.machines import fit_machines
-from umberusher.traces.mapping import LeftOutRow, MappedRow, Mapping
+from umberusher.traces.machines import rebase_machine_events
+from umberusher.traces.mapping import MappedRow, Mapping, SkippedRow
 from umberusher.traces.ordering import Row
 from umberusher.traces.plan import MachineEvent, Plan
 from umberusher.traces.reader import Reader
 from umberusher.traces.scripts import ScriptError
 
 MAX_REASON_CHARS = 80
-MAX_REASONS_SHOWN = 3
+MAX_SHOWN_REASONS = 3
 READ_CHUNK_BYTES = 1 << 20
 OUTSIDE_WINDOW = "outside the window asked for"
 
@@ -76,8 +76,8 @@
 
     start_us: int
     limit_us: float
-    natural_per_s: float
-    squeeze: float
+    trace_rate_per_s: float
+    speedup: float
     scale: float
 
 
@@ -87,12 +87,12 @@
     Raises:
         UsageError: The text is no window.
     """
-    first, mark, last = text.partition(":")
+    first, separator, last = text.partition(":")
     try:
         window = (float(first or 0), float(last) if last else math.inf)
     except ValueError:
         window = (1.0, 0.0)
-    if not mark or not 0 <= window[0] < window[1]:
+    if not separator or not 0 <= window[0] < window[1]:
         raise UsageError(f"--window: expected FROM:TO in seconds, got {text!r}")
     return window
 
@@ -102,14 +102,14 @@
 
     def __init__(self, mapping: Mapping, reader: Reader, options: BuildOptions) -> None:
         self.reader = reader
-        self.left_out: Counter[str] = Counter()
+        self.skipped_counts: Counter[str] = Counter()
         # Else rows are mapped and counted only, and memory stays flat.
-        self.keeps_requests = True
+        self.stores_requests = True
         self._mapping = mapping
         self._options = options
         self._requests: list[_Request] = []
         self._key_numbers: dict[str, int] = {"": 0}
-        self._tables = LookUpTables()
+        self._tables = LookupTables()
         # Where windows count from: the first row's time, or 0 where rows stand in no order and the
         # first says nothing.
         self._first_us: int | None = None if reader.layout.ordered else 0
@@ -139,15 +139,15 @@
         requests = sorted(self._requests, key=lambda request: request.at_us)
         requests = _thin(requests, options.thin)
         if not requests:
-            raise UsageError(f"nothing is left for the plan: {self._reasons()}")
+            raise UsageError(f"nothing is left for the plan: {self._describe_skipped()}")
         timing = self._timing(requests)
         if options.rate:
-            requests = _thin(requests, options.rate / timing.natural_per_s)
+            requests = _thin(requests, options.rate / timing.trace_rate_per_s)
         plan = Plan(self._mapping.classes)
         self._fill(plan, requests, timing)
         start_us = (self._first_us or 0) + round(self._window_us[0]) + timing.start_us
         limit_us = timing.limit_us * timing.scale
-        plan.machines = fit_machines(machines, start_us, timing.scale, limit_us)
+        plan.machines = rebase_machine_events(machines, start_us, timing.scale, limit_us)
         plan.header = self._header(paths, timing)
         return plan
 
@@ -170,7 +170,7 @@
             if isinstance(mapped, MappedRow):
                 self._add(invocation.at_us, mapped)
 
-    def _map(self, row: Row, joined: dict[str, Any]) -> MappedRow | LeftOutRow | None:
+    def _map(self, row: Row, joined: dict[str, Any]) -> MappedRow | SkippedRow | None:
         """Map a row; count what is left out, reject one that fails and return None for it."""
         try:
             mapped = self._mapping.map(row, joined)
@@ -179,16 +179,16 @@
             tally.kept -= 1  # it was good to the reader
             tally.reject(DefectReason.MAPPING_FAILED, row.file, row.line, str(error))
             return None
-        if isinstance(mapped, LeftOutRow):
-            self.left_out[mapped.reason[:MAX_REASON_CHARS]] += 1
+        if isinstance(mapped, SkippedRow):
+            self.skipped_counts[mapped.reason[:MAX_REASON_CHARS]] += 1
         return mapped
 
     def _add(self, at_us: int, mapped: MappedRow) -> None:
         first_us, end_us = self._window_us
         if not first_us <= at_us < end_us:
-            self.left_out[OUTSIDE_WINDOW] += 1
+            self.skipped_counts[OUTSIDE_WINDOW] += 1
             return
-        if not self.keeps_requests:
+        if not self.stores_requests:
             return
         key_number = self._key_numbers.setdefault(mapped.key, len(self._key_numbers))
         self._requests.append(
@@ -203,9 +203,9 @@
             )
         )
 
-    def _reasons(self) -> str:
-        reasons = self.left_out + self.reader.tally.rejected
-        shown = [f"{why} ({count})" for why, count in reasons.most_common(MAX_REASONS_SHOWN)]
+    def _describe_skipped(self) -> str:
+        reasons = self.skipped_counts + self.reader.tally.rejected
+        shown = [f"{reason} ({count})" for reason, count in reasons.most_common(MAX_SHOWN_REASONS)]
         return ", ".join(shown) or "no rows"
 
     def _timing(self, requests: list[_Request]) -> _Timing:
@@ -214,19 +214,19 @@
         start_us = 0 if options.window else requests[0].at_us
         first_us, end_us = self._window_us
         limit_us = min(end_us - first_us, requests[-1].at_us - start_us + 1)
-        natural_per_s = len(requests) / (limit_us / US_PER_SECOND)
-        squeeze = 1.0
+        trace_rate_per_s = len(requests) / (limit_us / US_PER_SECOND)
+        speedup = 1.0
         if options.rate:
             # A trace with too few requests passes faster.
-            squeeze = max(options.rate / natural_per_s, 1.0)
-        return _Timing(start_us, limit_us, natural_per_s, squeeze, options.stretch / squeeze)
+            speedup = max(options.rate / trace_rate_per_s, 1.0)
+        return _Timing(start_us, limit_us, trace_rate_per_s, speedup, options.stretch / speedup)
 
     def _fill(self, plan: Plan, requests: list[_Request], timing: _Timing) -> None:
         """Append the requests; keys are numbered by their first use."""
         texts = list(self._key_numbers)
-        used: dict[int, int] = {0: 0}
+        plan_key_numbers: dict[int, int] = {0: 0}
         for request in requests:
-            key = used.setdefault(request.key_number, len(used))
+            key = plan_key_numbers.setdefault(request.key_number, len(plan_key_numbers))
             if key == len(plan.keys):
                 plan.keys.append(texts[request.key_number])
             at_us = round((request.at_us - timing.start_us) * timing.scale)
@@ -257,11 +257,11 @@
             "thin": options.thin,
             "rate": options.rate,
             "stretch": options.stretch,
-            "squeezed": timing.squeeze,
+            "squeezed": timing.speedup,
             "seconds": timing.limit_us * timing.scale / 1e6,
-            "natural_per_s": timing.natural_per_s,
+            "natural_per_s": timing.trace_rate_per_s,
             "defects": defects,
-            "left_out": dict(sorted(self.left_out.items())),
+            "left_out": dict(sorted(self.skipped_counts.items())),
         }
 
 
--- a/umberusher/traces/converters.py
+++ b/umberusher/traces/converters.py
@@ -31,8 +31,8 @@
         f"    ({', '.join(variables)}, *rest) = row",
     ]
     for variable, column in zip(variables, table.columns, strict=True):
-        if column.kind is ColumnKind.TEXT and column.words:
-            scope[f"words_{variable}"] = frozenset(column.words)
+        if column.kind is ColumnKind.TEXT and column.known_values:
+            scope[f"words_{variable}"] = frozenset(column.known_values)
         body += _conversion(variable, column)
     for first, second in table.spans:
         start = variables[names.index(first)]
@@ -50,24 +50,24 @@
 def _conversion(variable: str, column: Column) -> list[str]:
     """Return the lines that convert and check one column."""
     is_text = column.kind is ColumnKind.TEXT
-    make = "pass" if is_text else f"{variable} = {column.kind}({variable})"
+    conversion = "pass" if is_text else f"{variable} = {column.kind}({variable})"
     test = _acceptance(variable, column)
     check = f"if not ({test}): raise ValueError" if test else "pass"
-    if column.empty:
+    if column.optional:
         return [
             f"    if {variable}:",
-            f"        {make}",
+            f"        {conversion}",
             f"        {check}",
             f"    else: {variable} = None",
         ]
     present = [f"    if not {variable}: raise ValueError"] if is_text else []
-    return [*present, f"    {make}", f"    {check}"]
+    return [*present, f"    {conversion}", f"    {check}"]
 
 
 def _acceptance(variable: str, column: Column) -> str:
     """Return the expression that accepts a column's value; empty if all are accepted."""
     if column.kind is ColumnKind.TEXT:
-        return f"{variable} in words_{variable}" if column.words else ""
+        return f"{variable} in words_{variable}" if column.known_values else ""
     low, high = _bounds(column)
     if low is not None and high is not None:
         return f"{low!r} <= {variable} <= {high!r}"
@@ -79,8 +79,8 @@
 
 
 def _bounds(column: Column) -> tuple[float | None, float | None]:
-    if column.words:
-        return 0, len(column.words) - 1
+    if column.known_values:
+        return 0, len(column.known_values) - 1
     return column.low, column.high
 
 
@@ -89,12 +89,12 @@
     if len(row) != table.width:
         detail = f"{len(row)} columns, expected {table.width}"
         return Defect(DefectReason.WRONG_COLUMN_COUNT, detail)
-    own = row[: len(table.columns)]
-    for column, text in zip(table.columns, own, strict=True):
+    column_texts = row[: len(table.columns)]
+    for column, text in zip(table.columns, column_texts, strict=True):
         defect = _column_defect(column, text)
         if defect:
             return defect
-    defect = _span_defect(table, dict(zip(table.column_names, own, strict=True)))
+    defect = _span_defect(table, dict(zip(table.column_names, column_texts, strict=True)))
     if defect:
         return defect
     for number, text in enumerate(row[len(table.columns) :], 1):
@@ -118,11 +118,11 @@
 
 def _column_defect(column: Column, text: str) -> Defect | None:
     if not text:
-        return None if column.empty else Defect(DefectReason.MISSING_FIELD, column.name)
+        return None if column.optional else Defect(DefectReason.MISSING_FIELD, column.name)
     detail = f"{column.name} is {text[:MAX_SHOWN_CHARS]!r}"
     if column.kind is ColumnKind.TEXT:
-        is_known = not column.words or text in column.words
-        return None if is_known else Defect(column.defect, detail)
+        is_accepted = not column.known_values or text in column.known_values
+        return None if is_accepted else Defect(column.defect, detail)
     try:
         value = int(text) if column.kind is ColumnKind.INT else float(text)
     except ValueError:
--- a/umberusher/traces/layouts.py
+++ b/umberusher/traces/layouts.py
@@ -54,10 +54,10 @@
 
     name: str
     kind: ColumnKind
-    empty: bool = False
+    optional: bool = False
     low: float | None = None
     high: float | None = None
-    words: tuple[str, ...] | None = None
+    known_values: tuple[str, ...] | None = None
     unit: str = ""
     defect: DefectReason = DefectReason.OUT_OF_RANGE
 
@@ -123,7 +123,7 @@
     unit: str
 
 
-_TIME = Column(
+_TIMESTAMP_COLUMN = Column(
     "timestamp",
     ColumnKind.INT,
     low=0,
@@ -131,7 +131,7 @@
     unit="us",
     defect=DefectReason.TIMESTAMP_OUT_OF_RANGE,
 )
-TASK_EVENT_WORDS = (
+TASK_EVENT_NAMES = (
     "SUBMIT",
     "SCHEDULE",
     "EVICT",
@@ -142,7 +142,7 @@
     "UPDATE_PENDING",
     "UPDATE_RUNNING",
 )
-MACHINE_EVENT_WORDS = ("ADD", "REMOVE", "UPDATE")
+MACHINE_EVENT_NAMES = ("ADD", "REMOVE", "UPDATE")
 
 TASK_EVENTS = Layout(
     "google-2011-task-events",
@@ -151,24 +151,24 @@
         Table(
             "task_events",
             (
-                _TIME,
-                Column("missing_info", ColumnKind.INT, empty=True, low=0, high=2),
+                _TIMESTAMP_COLUMN,
+                Column("missing_info", ColumnKind.INT, optional=True, low=0, high=2),
                 Column("job_id", ColumnKind.INT, low=0, high=MAX_ID),
                 Column("task_index", ColumnKind.INT, low=0, high=1 << 31),
-                Column("machine_id", ColumnKind.INT, empty=True, low=0, high=MAX_ID),
+                Column("machine_id", ColumnKind.INT, optional=True, low=0, high=MAX_ID),
                 Column(
                     "event_type",
                     ColumnKind.INT,
-                    words=TASK_EVENT_WORDS,
+                    known_values=TASK_EVENT_NAMES,
                     defect=DefectReason.UNKNOWN_EVENT,
                 ),
-                Column("user", ColumnKind.TEXT, empty=True),
-                Column("scheduling_class", ColumnKind.INT, empty=True, low=0, high=3),
+                Column("user", ColumnKind.TEXT, optional=True),
+                Column("scheduling_class", ColumnKind.INT, optional=True, low=0, high=3),
                 Column("priority", ColumnKind.INT, low=0, high=11),
-                Column("cpu_request", ColumnKind.FLOAT, empty=True, low=0, high=1),
-                Column("memory_request", ColumnKind.FLOAT, empty=True, low=0, high=1),
-                Column("disk_request", ColumnKind.FLOAT, empty=True, low=0, high=1),
-                Column("different_machine", ColumnKind.INT, empty=True, low=0, high=1),
+                Column("cpu_request", ColumnKind.FLOAT, optional=True, low=0, high=1),
+                Column("memory_request", ColumnKind.FLOAT, optional=True, low=0, high=1),
+                Column("disk_request", ColumnKind.FLOAT, optional=True, low=0, high=1),
+                Column("different_machine", ColumnKind.INT, optional=True, low=0, high=1),
             ),
             time_column="timestamp",
             special_times=(BEFORE_WINDOW, AFTER_WINDOW),
@@ -185,17 +185,17 @@
         Table(
             "machine_events",
             (
-                _TIME,
+                _TIMESTAMP_COLUMN,
                 Column("machine_id", ColumnKind.INT, low=0, high=MAX_ID),
                 Column(
                     "event_type",
                     ColumnKind.INT,
-                    words=MACHINE_EVENT_WORDS,
+                    known_values=MACHINE_EVENT_NAMES,
                     defect=DefectReason.UNKNOWN_EVENT,
                 ),
-                Column("platform_id", ColumnKind.TEXT, empty=True),
-                Column("cpus", ColumnKind.FLOAT, empty=True, low=0, high=1),
-                Column("memory", ColumnKind.FLOAT, empty=True, low=0, high=1),
+                Column("platform_id", ColumnKind.TEXT, optional=True),
+                Column("cpus", ColumnKind.FLOAT, optional=True, low=0, high=1),
+                Column("memory", ColumnKind.FLOAT, optional=True, low=0, high=1),
             ),
             time_column="timestamp",
             special_times=(AFTER_WINDOW,),
@@ -213,14 +213,14 @@
             "batch_task",
             (
                 Column("task_name", ColumnKind.TEXT),
-                Column("instance_num", ColumnKind.FLOAT, empty=True, low=0, high=1e9),
+                Column("instance_num", ColumnKind.FLOAT, optional=True, low=0, high=1e9),
                 Column("job_name", ColumnKind.TEXT),
-                Column("task_type", ColumnKind.TEXT, empty=True),
+                Column("task_type", ColumnKind.TEXT, optional=True),
                 Column(
                     "status",
                     ColumnKind.TEXT,
                     defect=DefectReason.UNKNOWN_EVENT,
-                    words=(
+                    known_values=(
                         "Ready",
                         "Waiting",
                         "Running",
@@ -241,17 +241,27 @@
                 Column(
                     "end_time",
                     ColumnKind.INT,
-                    empty=True,
+                    optional=True,
                     low=0,
                     high=MAX_TIME_S,
                     unit="s",
                     defect=DefectReason.TIMESTAMP_OUT_OF_RANGE,
                 ),
                 Column(
-                    "plan_cpu", ColumnKind.FLOAT, empty=True, low=0, high=100_000, unit="100 a core"
+                    "plan_cpu",
+                    ColumnKind.FLOAT,
+                    optional=True,
+                    low=0,
+                    high=100_000,
+                    unit="100 a core",
                 ),
                 Column(
-                    "plan_mem", ColumnKind.FLOAT, empty=True, low=0, high=10_000, unit="normalized"
+                    "plan_mem",
+                    ColumnKind.FLOAT,
+                    optional=True,
+                    low=0,
+                    high=10_000,
+                    unit="normalized",
                 ),
             ),
             time_column="start_time",
--- a/umberusher/traces/machines.py
+++ b/umberusher/traces/machines.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from umberusher.traces.defects import DefectReason
-from umberusher.traces.layouts import MACHINE_EVENT_WORDS, MACHINE_EVENTS
+from umberusher.traces.layouts import MACHINE_EVENT_NAMES, MACHINE_EVENTS
 from umberusher.traces.ordering import Row
 from umberusher.traces.plan import MachineEvent
 from umberusher.traces.reader import Reader
@@ -24,7 +24,7 @@
         script: May hold ``machine(row)``; without it all machines are small.
     """
     events = []
-    present: set[str] = set()
+    active: set[str] = set()
     for row in reader.rows(paths):
         values = _named_values(row)
         try:
@@ -36,11 +36,11 @@
         name = f"m-{values['machine_id']}"
         event = values["event_type"]
         if event == "ADD" and kind is not None:
-            present.add(name)
-        elif name not in present:
+            active.add(name)
+        elif name not in active:
             continue  # left out, or an event before the machine was added
         elif event == "REMOVE":
-            present.discard(name)
+            active.discard(name)
         events.append(MachineEvent(row.time_us, name, event, kind))
     return events
 
@@ -48,7 +48,7 @@
 def _named_values(row: Row) -> dict[str, Any]:
     names = MACHINE_EVENTS.tables[0].column_names
     values = dict(zip(names, row.values, strict=True)) | {"time_us": row.time_us}
-    values["event_type"] = MACHINE_EVENT_WORDS[values["event_type"]]
+    values["event_type"] = MACHINE_EVENT_NAMES[values["event_type"]]
     return values
 
 
@@ -59,7 +59,7 @@
     return kind
 
 
-def fit_machines(
+def rebase_machine_events(
     events: list[MachineEvent], start_us: int, scale: float, limit_us: float
 ) -> list[MachineEvent]:
     """Return the events from a plan's start on; what was there before is added at 0.
@@ -70,16 +70,16 @@
         scale: From the trace's time to the plan's.
         limit_us: The plan's end, in its own time.
     """
-    present: dict[str, MachineEvent] = {}
+    active: dict[str, MachineEvent] = {}
     later = []
     for event in events:
         at_us = round((event.at_us - start_us) * scale)
         if at_us <= 0:
             if event.event == "REMOVE":
-                present.pop(event.machine, None)
+                active.pop(event.machine, None)
             else:
                 kind = event.kind or DEFAULT_KIND
-                present[event.machine] = MachineEvent(0, event.machine, "ADD", kind)
+                active[event.machine] = MachineEvent(0, event.machine, "ADD", kind)
         elif at_us < limit_us:
             later.append(MachineEvent(at_us, event.machine, event.event, event.kind))
-    return [*present.values(), *later]
+    return [*active.values(), *later]
--- a/umberusher/traces/mapping.py
+++ b/umberusher/traces/mapping.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LeftOutRow:
+class SkippedRow:
     """A row that the mapping leaves out."""
 
     reason: str
@@ -106,7 +106,7 @@
         )
         return cls(Script.load(path, epilogue=epilogue, values=("classes",)), classes)
 
-    def map(self, row: Row, joined: dict[str, Any] | None = None) -> MappedRow | LeftOutRow:
+    def map(self, row: Row, joined: dict[str, Any] | None = None) -> MappedRow | SkippedRow:
         """Return the request of a row, with further values joined to it.
 
         Raises:
@@ -114,7 +114,7 @@
         """
         result = self.script.call("mapped_row", named_values(row) | (joined or {}))
         if len(result) == 1:
-            return LeftOutRow(result[0] if isinstance(result[0], str) else "left out")
+            return SkippedRow(result[0] if isinstance(result[0], str) else "left out")
         query_class, work_ms, memory_mb, key, group, job = result
         if query_class not in self.classes:
             raise ScriptError(
@@ -135,9 +135,9 @@
     """Return a row as a mapping sees it: columns by name, events in words, and ``time_us``."""
     values: dict[str, Any] = {"time_us": row.time_us}
     for column, value in zip(row.table.columns, row.values, strict=False):
-        is_event = column.words and column.kind is ColumnKind.INT
-        if is_event and column.words and value is not None:
-            values[column.name] = column.words[value]
+        is_event = column.known_values and column.kind is ColumnKind.INT
+        if is_event and column.known_values and value is not None:
+            values[column.name] = column.known_values[value]
         else:
             values[column.name] = value
     return values
--- a/umberusher/traces/ordering.py
+++ b/umberusher/traces/ordering.py
@@ -12,11 +12,11 @@
 from umberusher.traces.defects import DefectReason, Tally
 from umberusher.traces.layouts import US_PER_SECOND, Table
 
-MAX_HELD_ROWS = 200_000  # rows that wait to be put in order
+MAX_BUFFERED_ROWS = 200_000  # rows that wait to be put in order
 MAX_REMEMBERED_IDENTITIES = 200_000
 MAX_SHOWN_IDENTITY_CHARS = 24
-_LONG_AGO_US = -(1 << 62)
-_END_OF_TIME_US = 1 << 70
+_MIN_TIME_US = -(1 << 62)
+_MAX_TIME_US = 1 << 70
 
 
 class Row(NamedTuple):
@@ -39,24 +39,24 @@
     kept beyond its moment.
     """
 
-    def __init__(self, window_us: int, tally: Tally, max_rows: int = MAX_HELD_ROWS) -> None:
+    def __init__(self, window_us: int, tally: Tally, max_rows: int = MAX_BUFFERED_ROWS) -> None:
         self.max_rows = max_rows
         self.queue: deque[tuple[int, int, Row]] = deque()
-        self.late: list[tuple[int, int, Row]] = []
-        self.newest_us = _LONG_AGO_US
+        self.late_rows: list[tuple[int, int, Row]] = []
+        self.newest_us = _MIN_TIME_US
         # Rows before it are due.
-        self.due_before_us = _LONG_AGO_US
+        self.due_before_us = _MIN_TIME_US
         self._window_us = window_us
         self._tally = tally
         self._pushed_count = 0
-        self._released_us = _LONG_AGO_US
+        self._released_us = _MIN_TIME_US
         # Identities of the rows released last, where they share a time.
         self._identities: set[tuple[Any, ...]] = set()
 
     @property
     def has_due(self) -> bool:
         """Whether ``release`` may have rows to give."""
-        if self.late or not self.queue:
+        if self.late_rows or not self.queue:
             return True
         return self.queue[0][0] < self.due_before_us
 
@@ -75,26 +75,26 @@
             self._tally.reject(DefectReason.OUT_OF_ORDER, row.file, row.line, detail)
         else:
             self._tally.reordered += 1
-            heapq.heappush(self.late, (time_us, self._pushed_count, row))
-        if len(self.queue) + len(self.late) > self.max_rows:
+            heapq.heappush(self.late_rows, (time_us, self._pushed_count, row))
+        if len(self.queue) + len(self.late_rows) > self.max_rows:
             self._shorten_window()
 
     def _shorten_window(self) -> None:
         """Release the oldest row's time: more rows fall into the window than may be held."""
         oldest_us = self.queue[0][0]
-        if self.late:
-            oldest_us = min(oldest_us, self.late[0][0])
+        if self.late_rows:
+            oldest_us = min(oldest_us, self.late_rows[0][0])
         self.due_before_us = max(self.due_before_us, oldest_us + 1)
 
     def release(self) -> Iterator[Row]:
         """Yield the rows that nothing can come before any more, in order."""
         queue = self.queue
-        late = self.late
+        late_rows = self.late_rows
         while True:
-            if late and (not queue or late[0] < queue[0]):
-                if late[0][0] >= self.due_before_us:
+            if late_rows and (not queue or late_rows[0] < queue[0]):
+                if late_rows[0][0] >= self.due_before_us:
                     return
-                row = heapq.heappop(late)[2]
+                row = heapq.heappop(late_rows)[2]
             elif queue and queue[0][0] < self.due_before_us:
                 row = queue.popleft()[2]
             else:
@@ -105,7 +105,7 @@
 
     def drain(self) -> Iterator[Row]:
         """Yield what is left, in order."""
-        self.due_before_us = _END_OF_TIME_US
+        self.due_before_us = _MAX_TIME_US
         return self.release()
 
     def _is_duplicate(self, row: Row) -> bool:
--- a/umberusher/traces/patterns.py
+++ b/umberusher/traces/patterns.py
@@ -30,8 +30,8 @@
 """The published window begins 600 s after time 0."""
 US_PER_SECOND = 1e6
 
-FLASH_CROWD_MULTIPLE = 5.0
-FLASH_CROWD_START = 0.4  # fraction of the time
+FLASH_CROWD_PEAK = 5.0
+FLASH_CROWD_START_FRACTION = 0.4  # fraction of the time
 MAX_FLASH_CROWD_S = 30.0
 FLASH_CROWD_DIVISOR = 20  # of the time, where that gives a shorter crowd
 DIURNAL_AMPLITUDE = 0.6
@@ -39,10 +39,10 @@
 
 SUBMIT = 0
 SCHEDULE = 1
-FIRST_JOB = 6_000_000_000
-MAX_JOB_STEP = 5_000
-MAX_TASKS = 60
-TASK_TAIL = 1.3  # of the Pareto distribution of a job's tasks
+FIRST_JOB_ID = 6_000_000_000
+MAX_JOB_ID_STEP = 5_000
+MAX_TASKS_PER_JOB = 60
+TASK_COUNT_PARETO_SHAPE = 1.3  # of the Pareto distribution of a job's tasks
 MAX_USERS = 60
 MAX_MACHINES = 12_000
 SCHEDULE_DELAY_US = (1_000, 400_000)
@@ -53,8 +53,8 @@
 FIRST_MACHINE_ID = 1_000_000
 MACHINE_ID_RANGE = 9_000_000
 PLATFORM = "HofLGzk1Or/8Ildj2+Lqv0UGGvY82NLoni8+J/Yy0RU="
-LOSS_START = 0.35  # fraction of the time
-RECOVERY_START = 0.6
+LOSS_START_FRACTION = 0.35  # fraction of the time
+RECOVERY_START_FRACTION = 0.6
 LOSS_STEP_US = 200_000
 RECOVERY_STEP_US = 1_500_000
 
@@ -62,10 +62,10 @@
 def intensity(pattern: str, duration_s: float) -> Callable[[float], float]:
     """Return the rate at a moment (s), as a multiple of the mean."""
     if pattern == Pattern.FLASH_CROWD:
-        start_s = FLASH_CROWD_START * duration_s
+        start_s = FLASH_CROWD_START_FRACTION * duration_s
         length_s = min(MAX_FLASH_CROWD_S, duration_s / FLASH_CROWD_DIVISOR)
         end_s = start_s + length_s
-        return lambda at_s: FLASH_CROWD_MULTIPLE if start_s <= at_s < end_s else 1.0
+        return lambda at_s: FLASH_CROWD_PEAK if start_s <= at_s < end_s else 1.0
     if pattern == Pattern.DIURNAL:
         return lambda at_s: 1.0 + DIURNAL_AMPLITUDE * math.sin(2 * math.pi * at_s / duration_s)
     return lambda _at_s: 1.0
@@ -86,21 +86,21 @@
 class _JobSource:
     """Draws jobs; the order of the draws must stay."""
 
-    def __init__(self, pattern: str, draw: random.Random) -> None:
+    def __init__(self, pattern: str, rng: random.Random) -> None:
         self._is_heavy_tail = pattern == Pattern.HEAVY_TAIL
-        self._draw = draw
-        self._job_id = FIRST_JOB
+        self._rng = rng
+        self._job_id = FIRST_JOB_ID
 
     def next_job(self) -> _Job:
         """Draw a job."""
-        draw = self._draw
-        self._job_id += draw.randint(1, MAX_JOB_STEP)
+        rng = self._rng
+        self._job_id += rng.randint(1, MAX_JOB_ID_STEP)
         if self._is_heavy_tail:
-            task_count = min(int(draw.paretovariate(TASK_TAIL)), MAX_TASKS)
+            task_count = min(int(rng.paretovariate(TASK_COUNT_PARETO_SHAPE)), MAX_TASKS_PER_JOB)
         else:
-            task_count = draw.randint(1, 4)
+            task_count = rng.randint(1, 4)
         scheduling_class, priority = self._draw_kind()
-        user = f"u{draw.randint(1, MAX_USERS)}"
+        user = f"u{rng.randint(1, MAX_USERS)}"
         return _Job(
             self._job_id,
             task_count,
@@ -111,7 +111,7 @@
         )
 
     def _draw_kind(self) -> tuple[int, int]:
-        kind = self._draw.random()
+        kind = self._rng.random()
         if kind < LOOKUP_FRACTION:
             return 2, 0
         if kind < NON_LOAD_FRACTION:
@@ -119,13 +119,13 @@
         return 0, 9
 
     def _draw_cpu(self, scheduling_class: int) -> float:
-        draw = self._draw
+        rng = self._rng
         if scheduling_class:
-            cpu = min(draw.lognormvariate(-4.2, 0.5), 0.5)
+            cpu = min(rng.lognormvariate(-4.2, 0.5), 0.5)
         else:
-            cpu = min(0.05 + draw.lognormvariate(-2.2, 0.5), 0.9)
+            cpu = min(0.05 + rng.lognormvariate(-2.2, 0.5), 0.9)
         if self._is_heavy_tail:
-            cpu = min(cpu * draw.paretovariate(1.1) ** 0.8, 1.0)
+            cpu = min(cpu * rng.paretovariate(1.1) ** 0.8, 1.0)
         return cpu
 
 
@@ -141,29 +141,29 @@
         seed: Of all draws.
         max_rows: Lines at the most, of those before the last arrival; 0 for no limit.
     """
-    draw = random.Random(f"{pattern}/{seed}")
-    jobs = _JobSource(pattern, draw)
+    rng = random.Random(f"{pattern}/{seed}")
+    jobs = _JobSource(pattern, rng)
     pending: list[tuple[int, int, str]] = []
-    made_count = 0
+    sequence_number = 0
     yielded_count = 0
     job: _Job | None = None
     task_index = 0
-    for now_us in _arrivals(pattern, duration_s, rate, draw):
+    for now_us in _arrivals(pattern, duration_s, rate, rng):
         if job is None or task_index == job.task_count:
             job = jobs.next_job()
             task_index = 0
-        memory = min(draw.lognormvariate(-3.6, 0.7), 0.9)
-        disk = draw.random() / 1000
+        memory = min(rng.lognormvariate(-3.6, 0.7), 0.9)
+        disk = rng.random() / 1000
         template = (
             f"%d,,{job.job_id},{task_index},%s,%d,{job.user},{job.scheduling_class},"
             f"{job.priority},{job.cpu:.5f},{memory:.5f},{disk:.6f},0"
         )
-        scheduled_us = now_us + draw.randint(*SCHEDULE_DELAY_US)
-        machine = draw.randint(1, MAX_MACHINES)
-        made_count += 2
-        heapq.heappush(pending, (now_us, made_count, template % (now_us, "", SUBMIT)))
+        scheduled_us = now_us + rng.randint(*SCHEDULE_DELAY_US)
+        machine = rng.randint(1, MAX_MACHINES)
+        sequence_number += 2
+        heapq.heappush(pending, (now_us, sequence_number, template % (now_us, "", SUBMIT)))
         scheduled_row = template % (scheduled_us, machine, SCHEDULE)
-        heapq.heappush(pending, (scheduled_us, made_count + 1, scheduled_row))
+        heapq.heappush(pending, (scheduled_us, sequence_number + 1, scheduled_row))
         task_index += 1
         while pending and pending[0][0] <= now_us:
             yield heapq.heappop(pending)[2]
@@ -174,30 +174,30 @@
         yield heapq.heappop(pending)[2]
 
 
-def _arrivals(pattern: str, duration_s: float, rate: float, draw: random.Random) -> Iterator[int]:
+def _arrivals(pattern: str, duration_s: float, rate: float, rng: random.Random) -> Iterator[int]:
     """Yield the times of arrivals, us, by thinning of a Poisson stream (Lewis and Shedler 1979)."""
-    shape = intensity(pattern, duration_s)
-    peak = FLASH_CROWD_MULTIPLE if pattern == Pattern.FLASH_CROWD else DIURNAL_PEAK
+    relative_rate = intensity(pattern, duration_s)
+    peak = FLASH_CROWD_PEAK if pattern == Pattern.FLASH_CROWD else DIURNAL_PEAK
     at_s = 0.0
     while at_s < duration_s:
-        at_s += draw.expovariate(rate * peak)
-        if draw.random() > shape(at_s) / peak or at_s >= duration_s:
+        at_s += rng.expovariate(rate * peak)
+        if rng.random() > relative_rate(at_s) / peak or at_s >= duration_s:
             continue
         yield START_US + int(at_s * US_PER_SECOND)
 
 
 @dataclass(slots=True, frozen=True)
-class _MachineRow:
+class _Machine:
     """A machine of the fleet, with its capacity as a fraction of the largest."""
 
     machine_id: int
     cpus: float
 
-    def added(self, at_us: int) -> str:
+    def added_line(self, at_us: int) -> str:
         """Return the line by which it comes."""
         return f"{at_us},{self.machine_id},0,{PLATFORM},{self.cpus},{self.cpus / 2}"
 
-    def removed(self, at_us: int) -> str:
+    def removed_line(self, at_us: int) -> str:
         """Return the line by which it goes."""
         return f"{at_us},{self.machine_id},1,{PLATFORM},,"
 
@@ -209,21 +209,21 @@
 
     Node loss takes most of it at once and brings it back.
     """
-    draw = random.Random(f"machines/{pattern}/{seed}")
+    rng = random.Random(f"machines/{pattern}/{seed}")
     machines = [
-        _MachineRow(
-            FIRST_MACHINE_ID + draw.randint(1, MACHINE_ID_RANGE), 1.0 if number % 3 == 2 else 0.5
+        _Machine(
+            FIRST_MACHINE_ID + rng.randint(1, MACHINE_ID_RANGE), 1.0 if number % 3 == 2 else 0.5
         )
         for number in range(engine_count)
     ]
     for machine in machines:
-        yield machine.added(0)
+        yield machine.added_line(0)
     if pattern != Pattern.NODE_LOSS:
         return
     lost = machines[: max(engine_count * 4 // 7, 1)]
-    lost_us = START_US + int(LOSS_START * duration_s * US_PER_SECOND)
+    lost_us = START_US + int(LOSS_START_FRACTION * duration_s * US_PER_SECOND)
     for number, machine in enumerate(lost):
-        yield machine.removed(lost_us + number * LOSS_STEP_US)
-    back_us = START_US + int(RECOVERY_START * duration_s * US_PER_SECOND)
+        yield machine.removed_line(lost_us + number * LOSS_STEP_US)
+    recovered_us = START_US + int(RECOVERY_START_FRACTION * duration_s * US_PER_SECOND)
     for number, machine in enumerate(lost):
-        yield machine.added(back_us + number * RECOVERY_STEP_US)
+        yield machine.added_line(recovered_us + number * RECOVERY_STEP_US)
--- a/umberusher/traces/plan.py
+++ b/umberusher/traces/plan.py
@@ -80,7 +80,7 @@
     """A compressed part of the file."""
 
     name: str
-    packed: bytes
+    compressed: bytes
     size: int
 
 
@@ -138,13 +138,13 @@
             "classes": list(self.classes),
             "requests": len(self),
             "blocks": [
-                {"name": block.name, "packed": len(block.packed), "size": block.size}
+                {"name": block.name, "packed": len(block.compressed), "size": block.size}
                 for block in blocks
             ],
         }
         encoded = _encode_json(header)
         size = struct.pack("<I", len(encoded))
-        body = MAGIC + size + encoded + b"".join(block.packed for block in blocks)
+        body = MAGIC + size + encoded + b"".join(block.compressed for block in blocks)
         return body + xxhash.xxh3_128_digest(body)
 
     @property
@@ -250,11 +250,11 @@
         size = block["size"]
         if not 0 <= size <= MAX_COLUMN_BYTES:
             raise PlanError(f"block {block['name']} of {size} bytes")
-        packed = data[offset : offset + block["packed"]]
+        compressed = data[offset : offset + block["packed"]]
         offset += block["packed"]
         content = b""
         if size:
-            content = decompressor.decompress(packed, max_output_size=max(size, 1))
+            content = decompressor.decompress(compressed, max_output_size=max(size, 1))
         contents[block["name"]] = content
     return contents
 
--- a/umberusher/traces/plots.py
+++ b/umberusher/traces/plots.py
@@ -21,10 +21,10 @@
 """A name, the widths of its parts, and where its budget ends."""
 
 
-def _render(figure: Figure, form: str) -> bytes:
+def _render(figure: Figure, image_format: str) -> bytes:
     output = io.BytesIO()
-    metadata = {"Date": None} if form == "svg" else None
-    figure.savefig(output, format=form, metadata=metadata, bbox_inches="tight")
+    metadata = {"Date": None} if image_format == "svg" else None
+    figure.savefig(output, format=image_format, metadata=metadata, bbox_inches="tight")
     return output.getvalue()
 
 
@@ -35,7 +35,7 @@
     *,
     y_label: str,
     x_label: str = "seconds",
-    form: str = "svg",
+    image_format: str = "svg",
     marks: Mapping[str, float] | None = None,
 ) -> bytes:
     """Draw lines over one axis; ``marks`` are moments with a name."""
@@ -52,11 +52,11 @@
     axes.set_ylim(bottom=0)
     if len(lines) > 1:
         axes.legend(fontsize=8)
-    return _render(figure, form)
+    return _render(figure, image_format)
 
 
-def steps(
-    title: str, samples: Mapping[str, Sequence[float]], *, x_label: str, form: str = "svg"
+def cumulative_distribution(
+    title: str, samples: Mapping[str, Sequence[float]], *, x_label: str, image_format: str = "svg"
 ) -> bytes:
     """Draw the fraction of samples up to a value, a line a name, on a logarithmic axis."""
     figure = Figure(figsize=(FIGURE_WIDTH_INCHES, FIGURE_HEIGHT_INCHES))
@@ -68,7 +68,7 @@
             axes.plot(ordered, fractions, label=name, linewidth=1)
     axes.set(title=title, xlabel=x_label, ylabel="share", xscale="log")
     axes.legend(fontsize=8)
-    return _render(figure, form)
+    return _render(figure, image_format)
 
 
 def waterfall(
@@ -76,7 +76,7 @@
     parts: Sequence[str],
     rows: Sequence[WaterfallRow],
     *,
-    form: str = "svg",
+    image_format: str = "svg",
     mark: str = "budget",
     x_label: str = "ms",
 ) -> bytes:
@@ -94,4 +94,4 @@
     axes.invert_yaxis()
     axes.set(title=title, xlabel=x_label)
     axes.legend(fontsize=7, ncols=len(parts) + 1, loc="upper center", bbox_to_anchor=(0.5, -0.12))
-    return _render(figure, form)
+    return _render(figure, image_format)
--- a/umberusher/traces/reader.py
+++ b/umberusher/traces/reader.py
@@ -93,7 +93,7 @@
         """
         self.layout = layout
         self.tally = Tally(strict)
-        self.order = ReorderBuffer(round(reorder_s * US_PER_SECOND), self.tally)
+        self.reorder_buffer = ReorderBuffer(round(reorder_s * US_PER_SECOND), self.tally)
         self._progress = progress
         self._tables = {table.name: _TableReader.of(table, layout) for table in layout.tables}
 
@@ -106,7 +106,7 @@
         for path in self._sorted(paths):
             with _open(path) as source:
                 yield from self._read_file(source, Path(path).name)
-        yield from self.order.drain()
+        yield from self.reorder_buffer.drain()
 
     def _sorted(self, paths: list[str]) -> list[str]:
         """Return look-up tables first; a layout of one table keeps the order given."""
@@ -123,7 +123,7 @@
 
     def _read_file(self, source: BinaryIO, name: str) -> Iterator[Row]:
         tally = self.tally
-        order = self.order
+        reorder_buffer = self.reorder_buffer
         only_table = self.layout.tables[0] if len(self.layout.tables) == 1 else None
         reader: _TableReader | None = None
         if only_table is not None and not only_table.header:
@@ -142,11 +142,13 @@
                 continue
             time = values[reader.time_position] if reader.has_time else 0
             if reader.is_ordered and time not in reader.special_times:
-                order.push(Row(time * reader.time_unit_us, name, number, reader.table, values))
-                if order.has_due:
-                    yield from order.release()
+                reorder_buffer.push(
+                    Row(time * reader.time_unit_us, name, number, reader.table, values)
+                )
+                if reorder_buffer.has_due:
+                    yield from reorder_buffer.release()
             elif self._accept_unordered(reader, name, number, fields):
-                time_us = self._note_time(reader, time)
+                time_us = self._track_time(reader, time)
                 yield Row(time_us or SPECIAL_TIME_US, name, number, reader.table, values)
 
     def _split_records(
@@ -156,11 +158,11 @@
         feed = RecordFeed()
         splitter = csv.reader(feed, strict=True)
         number = 0
-        shown = 0
+        reported_progress = 0
         try:
             for number, text in read_records(lines(source)):
-                if shown < number >> PROGRESS_LINE_BITS:
-                    shown = number >> PROGRESS_LINE_BITS
+                if reported_progress < number >> PROGRESS_LINE_BITS:
+                    reported_progress = number >> PROGRESS_LINE_BITS
                     self._progress(source.tell())
                 if isinstance(text, Defect):
                     yield number, text
@@ -204,14 +206,14 @@
         self.tally.kept += 1
         return True
 
-    def _note_time(self, reader: _TableReader, time: int) -> int:
+    def _track_time(self, reader: _TableReader, time: int) -> int:
         """Return the time of a row outside the order, us; count it if it lies behind another."""
         if not reader.has_time or self.layout.ordered:
             return time
         time_us = time * reader.time_unit_us
-        if time_us < self.order.newest_us:
+        if time_us < self.reorder_buffer.newest_us:
             self.tally.reordered += 1
-        self.order.newest_us = max(self.order.newest_us, time_us)
+        self.reorder_buffer.newest_us = max(self.reorder_buffer.newest_us, time_us)
         return time_us
 
     def _table_of(self, name: str, header: list[str]) -> Table:
--- a/umberusher/traces/records.py
+++ b/umberusher/traces/records.py
@@ -57,19 +57,19 @@
     numbered: Iterator[tuple[int, bytes]],
 ) -> bytes | Defect:
     """Join the lines of a record whose first one leaves a quote open."""
-    taken = [first]
+    collected = [first]
     is_open = True
-    while is_open and len(taken) < MAX_RECORD_LINES:
+    while is_open and len(collected) < MAX_RECORD_LINES:
         following = pushed_back.popleft() if pushed_back else next(numbered, None)
         if following is None:
             break
-        taken.append(following)
+        collected.append(following)
         is_open ^= _leaves_quote_open(following[1])
     if is_open:
-        pushed_back.extendleft(reversed(taken[1:]))
-        detail = f"a quote is open for {len(taken)} lines"
+        pushed_back.extendleft(reversed(collected[1:]))
+        detail = f"a quote is open for {len(collected)} lines"
         return Defect(DefectReason.QUOTE_NOT_CLOSED, detail)
-    return b"\n".join(line for _, line in taken)
+    return b"\n".join(line for _, line in collected)
 
 
 def _decode(line: bytes) -> str | Defect:
--- a/umberusher/traces/scripts.py
+++ b/umberusher/traces/scripts.py
@@ -18,7 +18,7 @@
 MAX_CALL_DEPTH = 64
 MAX_LOAD_TICKS = 20_000  # of about 1,000 steps each
 MAX_CALL_TICKS = 1_000
-_PLACE = re.compile(r"--> (.*?):(\d+):(\d+)")
+_LOCATION = re.compile(r"--> (.*?):(\d+):(\d+)")
 _ERROR_PREFIX = "error:"
 
 
@@ -29,12 +29,12 @@
 def _describe(error: starlark.StarlarkError, name: str) -> str:
     """Return where in the script ``name`` an error arose, and why, as one line."""
     text = str(error)
-    places = [found for found in _PLACE.finditer(text) if found[1] == name]
-    place = f"{name}:{places[-1][2]}:{places[-1][3]}" if places else name
+    locations = [match for match in _LOCATION.finditer(text) if match[1] == name]
+    location = f"{name}:{locations[-1][2]}:{locations[-1][3]}" if locations else name
     stripped = [line.strip() for line in text.splitlines()]
     reasons = [line for line in stripped if line.startswith(_ERROR_PREFIX)]
     reason = reasons[0] if reasons else text.strip().splitlines()[0]
-    return f"{place}: {reason.removeprefix(_ERROR_PREFIX).strip()}"
+    return f"{location}: {reason.removeprefix(_ERROR_PREFIX).strip()}"
 
 
 class _TickLimit:
--- a/umberusher/traces/stats.py
+++ b/umberusher/traces/stats.py
@@ -20,7 +20,7 @@
 MIN_DURATION_S = 1e-6
 
 
-def counts(plan: Plan, width_s: float) -> list[int]:
+def arrival_counts(plan: Plan, width_s: float) -> list[int]:
     """Return the arrivals in each window of a width."""
     windows = [0] * max(math.ceil(plan.seconds / width_s), 1)
     width_us = width_s * 1e6
@@ -60,12 +60,12 @@
     return work
 
 
-def figures(plan: Plan) -> dict[str, Any]:
+def plan_statistics(plan: Plan) -> dict[str, Any]:
     """Return all figures as JSON."""
     total = len(plan)
     duration_s = max(plan.seconds, MIN_DURATION_S)
     mean_per_s = total / duration_s
-    peak_per_s = max(counts(plan, 1.0))
+    peak_per_s = max(arrival_counts(plan, 1.0))
     times_us = plan.columns["at_us"]
     most_common = Counter(times_us).most_common(1)
     return {
@@ -84,13 +84,13 @@
         "keys": len(plan.keys) - 1,
         "machines": len(plan.machines),
         "by_class": {
-            name: _class_figures(work_ms, total) for name, work_ms in work_by_class(plan).items()
+            name: _class_statistics(work_ms, total) for name, work_ms in work_by_class(plan).items()
         },
     }
 
 
 def _dispersion(plan: Plan, width_s: float) -> float | None:
-    value = dispersion(counts(plan, width_s))
+    value = dispersion(arrival_counts(plan, width_s))
     return None if value is None else round(value, 2)
 
 
@@ -106,7 +106,7 @@
     return round(deviation_ms / mean_ms, 2)
 
 
-def _class_figures(work_ms: list[float], total: int) -> dict[str, Any]:
+def _class_statistics(work_ms: list[float], total: int) -> dict[str, Any]:
     return {
         "requests": len(work_ms),
         "share": round(len(work_ms) / total, 4) if total else 0.0,
--- a/umberusher/traces/streams.py
+++ b/umberusher/traces/streams.py
@@ -105,18 +105,18 @@
         StreamError: After the last complete line; the part of a line that a cut left is not
             given, since it must not pass for a line.
     """
-    rest = b""
-    started = False
+    partial_line = b""
+    is_first_chunk_read = False
     for chunk in chunks(source):
         data = chunk
-        if not started:
-            started = True
+        if not is_first_chunk_read:
+            is_first_chunk_read = True
             data = data.removeprefix(BYTE_ORDER_MARK)
-        complete = (rest + data).split(b"\n")
-        rest = complete.pop()
+        complete = (partial_line + data).split(b"\n")
+        partial_line = complete.pop()
         for line in complete:
             yield line[:-1] if line.endswith(b"\r") else line
-        if len(rest) > MAX_LINE_BYTES:
-            rest = rest[: MAX_LINE_BYTES + 1]
-    if rest:
-        yield rest.removesuffix(b"\r")
+        if len(partial_line) > MAX_LINE_BYTES:
+            partial_line = partial_line[: MAX_LINE_BYTES + 1]
+    if partial_line:
+        yield partial_line.removesuffix(b"\r")
