--- a/umberusher/traces/__init__.py
+++ b/umberusher/traces/__init__.py
@@ -1,1 +1,1 @@
-"""Cluster traces: published layouts, their reader, mappings to requests, and plans to replay."""
+"""Cluster traces: published file layouts, their reader, mappings to requests, and replay plans."""
--- a/umberusher/traces/builder.py
+++ b/umberusher/traces/builder.py
@@ -1,7 +1,7 @@
-"""From rows and a mapping to a plan.
+"""Builds a plan from the rows of a trace and a mapping.
 
-Rows are mapped, cut to the window, thinned by whole jobs, brought to a rate, then stretched. The
-plan's header tells each step.
+Rows are mapped, cut to the window, thinned by whole jobs, scaled to a rate, then stretched. The
+plan's header records each step.
 """
 
 from __future__ import annotations
@@ -34,13 +34,15 @@
 
 @dataclass(slots=True)
 class BuildOptions:
-    """How a plan is made.
+    """How a plan is built.
 
     Attributes:
-        window: First and last second of the trace's time, from its first row; None for all.
-        rate: Requests a second of the plan; None for those of the trace.
+        seed: Seed of all hashes and random draws.
+        window: First and last second of the trace's time, counted from its first row; None for the
+            whole trace.
+        rate: Requests per second of the plan; None for the rate of the trace.
         thin: Fraction of the requests that is kept.
-        stretch: Factor on all times.
+        stretch: Factor by which all times are multiplied.
     """
 
     seed: int = 1
@@ -51,7 +53,7 @@
 
 
 class _Request(NamedTuple):
-    """A request before its key is numbered by the plan."""
+    """A request before the plan numbers its key."""
 
     at_us: int
     query_class: int
@@ -64,14 +66,14 @@
 
 @dataclass(slots=True, frozen=True)
 class _Timing:
-    """How the trace's times become the plan's.
+    """How the trace's times are converted to the plan's.
 
     Attributes:
-        start_us: The plan's start, in the builder's time.
-        limit_us: Its length before it is scaled.
-        natural_per_s: The rate of the trace.
-        squeeze: How much faster the trace passes to reach the rate.
-        scale: From the trace's time to the plan's.
+        start_us: The plan's start, relative to the start of the window.
+        limit_us: The plan's length before it is scaled.
+        trace_rate_per_s: The rate of the trace, requests per second.
+        speedup: Factor by which the trace is accelerated to reach the requested rate.
+        scale: Factor from the trace's time to the plan's.
     """
 
     start_us: int
@@ -82,10 +84,10 @@
 
 
 def parse_window(text: str) -> tuple[float, float]:
-    """Return the seconds of ``FROM:TO``; no TO is no end.
+    """Return the seconds of ``FROM:TO``; without TO the window has no end.
 
     Raises:
-        UsageError: The text is no window.
+        UsageError: The text is not a valid window.
     """
     first, separator, last = text.partition(":")
     try:
@@ -98,26 +100,26 @@
 
 
 class Builder:
-    """Collects requests; ``plan`` makes the plan of them."""
+    """Collects requests from a trace's rows; ``plan`` builds the plan from them."""
 
     def __init__(self, mapping: Mapping, reader: Reader, options: BuildOptions) -> None:
         self.reader = reader
         self.skipped_counts: Counter[str] = Counter()
-        # Else rows are mapped and counted only, and memory stays flat.
+        # Where False, rows are only mapped and counted: memory does not grow with the trace.
         self.stores_requests = True
         self._mapping = mapping
         self._options = options
         self._requests: list[_Request] = []
         self._key_numbers: dict[str, int] = {"": 0}
         self._tables = LookupTables()
-        # Where windows count from: the first row's time, or 0 where rows stand in no order and the
-        # first says nothing.
+        # The time that windows are relative to: the first row's time, or 0 for layouts without an
+        # order, in which the first row need not be the earliest.
         self._first_us: int | None = None if reader.layout.ordered else 0
         first_s, end_s = options.window or (0.0, math.inf)
         self._window_us = (first_s * 1e6, end_s * 1e6)
 
     def read(self, paths: list[str]) -> None:
-        """Read and map files; a row on which the mapping fails is rejected with its reason."""
+        """Read and map files; a row on which the mapping fails is rejected with the reason."""
         is_azure = self.reader.layout is AZURE
         for row in self.reader.rows(paths):
             if not is_azure:
@@ -126,14 +128,14 @@
                 self._add_invocations(row)
 
     def plan(self, paths: list[str], machines: list[MachineEvent]) -> Plan:
-        """Return the plan of what was read.
+        """Return the plan of the requests read.
 
         Args:
-            paths: The files, for the header.
-            machines: The fleet's events, in the trace's time.
+            paths: The files that were read; the header lists them.
+            machines: The fleet's machine events, in the trace's time.
 
         Raises:
-            UsageError: Nothing is left for the plan.
+            UsageError: No request is left for the plan.
         """
         options = self._options
         requests = sorted(self._requests, key=lambda request: request.at_us)
@@ -162,7 +164,7 @@
         function = FunctionId(*row.values[:3])
         memory_mb = self._tables.memory_mb.get(AppId(function.owner, function.app))
         for invocation in draw_invocations(row, self._options.seed, self._window_us):
-            duration_ms = self._tables.duration_ms(function, invocation.draw)
+            duration_ms = self._tables.duration_ms(function, invocation.duration_quantile)
             joined = {"duration_ms": duration_ms, "app_memory_mb": memory_mb}
             mapped = self._map(row, joined)
             if mapped is None:
@@ -171,12 +173,12 @@
                 self._add(invocation.at_us, mapped)
 
     def _map(self, row: Row, joined: dict[str, Any]) -> MappedRow | SkippedRow | None:
-        """Map a row; count what is left out, reject one that fails and return None for it."""
+        """Map a row and count it if skipped; reject it and return None if the mapping fails."""
         try:
             mapped = self._mapping.map(row, joined)
         except ScriptError as error:
             tally = self.reader.tally
-            tally.kept -= 1  # it was good to the reader
+            tally.kept -= 1  # The reader has counted the row as kept.
             tally.reject(DefectReason.MAPPING_FAILED, row.file, row.line, str(error))
             return None
         if isinstance(mapped, SkippedRow):
@@ -217,12 +219,12 @@
         trace_rate_per_s = len(requests) / (limit_us / US_PER_SECOND)
         speedup = 1.0
         if options.rate:
-            # A trace with too few requests passes faster.
+            # A trace with too few requests per second is accelerated; one with too many is thinned.
             speedup = max(options.rate / trace_rate_per_s, 1.0)
         return _Timing(start_us, limit_us, trace_rate_per_s, speedup, options.stretch / speedup)
 
     def _fill(self, plan: Plan, requests: list[_Request], timing: _Timing) -> None:
-        """Append the requests; keys are numbered by their first use."""
+        """Append the requests; keys are numbered in the order of their first use."""
         texts = list(self._key_numbers)
         plan_key_numbers: dict[int, int] = {0: 0}
         for request in requests:
@@ -266,7 +268,7 @@
 
 
 def _thin(requests: list[_Request], fraction: float) -> list[_Request]:
-    """Keep whole jobs, in the order of their hash, until the fraction of requests is met."""
+    """Keep complete jobs, in the order of their hash, until the fraction of requests is reached."""
     if fraction >= 1.0:
         return requests
     sizes = Counter(request.job for request in requests)
--- a/umberusher/traces/converters.py
+++ b/umberusher/traces/converters.py
@@ -1,4 +1,8 @@
-"""A row's texts to values: a fast function for each table, and the slow search for a defect."""
+"""Converts a row's texts to values.
+
+A generated function converts the rows of each table quickly; ``diagnose`` finds the reason of a
+rejected row, slowly.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +13,17 @@
 from umberusher.traces.defects import Defect, DefectReason
 from umberusher.traces.layouts import Column, ColumnKind, Table
 
-MAX_SHOWN_CHARS = 40  # of a wrong text
+MAX_SHOWN_CHARS = 40  # of a rejected text, in the details of a defect
 MAX_SHOWN_NUMBER_CHARS = 20
 
 Converter = Callable[[list[str]], list[Any]]
-"""Returns the values of a row; raises ValueError where any is not accepted."""
+"""Returns the values of a row; raises ValueError where a value is not accepted."""
 
 
 def make_converter(table: Table) -> Converter:
-    """Make the converter of a table.
+    """Generate the converter of a table.
 
-    It is one straight-line function: a loop over the columns takes three times as long
+    It is one function without a loop over the columns: a loop takes three times as long
     (docs/traces.md).
     """
     variables = [f"c{number}" for number in range(len(table.columns))]
@@ -42,13 +46,13 @@
         body.append("    rest = [int(each) for each in rest]")
         body.append("    if min(rest) < 0: raise ValueError")
     body.append(f"    return [{', '.join(variables)}, *rest]")
-    exec("\n".join(body), scope)  # made from the layout alone, never from a file's text
+    exec("\n".join(body), scope)  # The source depends on the layout only, never on a file's text.
     converter: Converter = scope["convert"]
     return converter
 
 
 def _conversion(variable: str, column: Column) -> list[str]:
-    """Return the lines that convert and check one column."""
+    """Return the source lines that convert and check one column."""
     is_text = column.kind is ColumnKind.TEXT
     conversion = "pass" if is_text else f"{variable} = {column.kind}({variable})"
     test = _acceptance(variable, column)
@@ -65,7 +69,7 @@
 
 
 def _acceptance(variable: str, column: Column) -> str:
-    """Return the expression that accepts a column's value; empty if all are accepted."""
+    """Return the expression that is true for accepted values; empty if all values are accepted."""
     if column.kind is ColumnKind.TEXT:
         return f"{variable} in words_{variable}" if column.known_values else ""
     low, high = _bounds(column)
@@ -85,7 +89,7 @@
 
 
 def diagnose(table: Table, row: list[str]) -> Defect:
-    """Return what is wrong with a row that its converter would not take."""
+    """Return what is wrong with a row that its converter rejected."""
     if len(row) != table.width:
         detail = f"{len(row)} columns, expected {table.width}"
         return Defect(DefectReason.WRONG_COLUMN_COUNT, detail)
--- a/umberusher/traces/defects.py
+++ b/umberusher/traces/defects.py
@@ -1,7 +1,7 @@
-"""What is wrong with rows: a reason, a count, the first places.
+"""Defects of rows: the reason, the number of rows and the first locations of each.
 
-For each reading ``rows = kept + rejected`` holds. Counts are bounded by the reasons that there are,
-never by the rows.
+After reading, ``rows = kept + rejected`` holds. Memory is bounded by the number of reasons, not by
+the number of rows.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from umberusher.errors import UsageError
 
-MAX_EXAMPLES = 5  # places that are kept for each reason
+MAX_EXAMPLES = 5  # locations that are kept for each reason
 
 
 class DefectReason(StrEnum):
-    """Why a row is rejected; the values stand in the output of ``trace check``."""
+    """Why a row is rejected; the values appear in the output of ``trace check``."""
 
     MISSING_FIELD = "missing field"
     NOT_A_NUMBER = "not a number"
@@ -45,12 +45,12 @@
 
 
 class StrictError(UsageError):
-    """The first defect, where none is accepted."""
+    """Raised at the first defect in strict mode."""
 
 
 @dataclass(slots=True)
 class Tally:
-    """Counts of one reading; ``reordered`` rows are among the kept ones."""
+    """Row counts of one reader; ``kept`` includes the ``reordered`` rows."""
 
     strict: bool = False
     rows: int = 0
@@ -63,7 +63,7 @@
         """Count a rejected row.
 
         Raises:
-            StrictError: No defect is accepted.
+            StrictError: The tally is strict, so that no defect is accepted.
         """
         self.rejected[reason.value] += 1
         places = self.examples.setdefault(reason.value, [])
@@ -79,7 +79,7 @@
 
     @property
     def balanced(self) -> bool:
-        """Whether each row is accounted for, once."""
+        """Whether each row is counted exactly once, as kept or as rejected."""
         return self.rows == self.kept + sum(self.rejected.values())
 
     def document(self) -> dict[str, Any]:
--- a/umberusher/traces/hashing.py
+++ b/umberusher/traces/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes of texts by a seed."""
+"""Seeded hashes of texts."""
 
 from __future__ import annotations
 
--- a/umberusher/traces/layouts.py
+++ b/umberusher/traces/layouts.py
@@ -1,7 +1,7 @@
-"""Layouts of published traces as data: tables, columns, types, units, what may be empty.
+"""Layouts of published traces as data: tables, columns, types, units, and optional columns.
 
-The reader is made from these, so that a further layout takes no new reader. Sources, by the pages
-that their publishers keep beside the data:
+The reader is generated from these, so that a further layout needs no new reader. Sources are the
+pages that the publishers keep with the data:
 
 - Google cluster data 2011 (clusterdata-2011-2), "Google cluster-usage traces: format + schema",
   Reiss, Wilkes and Hellerstein, 2011-11-17, version 2: task events and machine events.
@@ -22,9 +22,9 @@
 US_PER_MINUTE = 60 * US_PER_SECOND
 
 BEFORE_WINDOW = 0
-"""The 2011 layout's time of events before the published window."""
+"""The timestamp that the 2011 layout gives to events before the published window."""
 AFTER_WINDOW = (1 << 63) - 1
-"""The 2011 layout's time of events after it."""
+"""The timestamp that the 2011 layout gives to events after the published window."""
 
 MINUTES_PER_DAY = 1440
 MAX_ID = (1 << 64) - 1
@@ -33,7 +33,7 @@
 
 
 class ColumnKind(StrEnum):
-    """How a column's text is read."""
+    """The type that a column's text is converted to."""
 
     INT = "int"
     FLOAT = "float"
@@ -45,11 +45,12 @@
     """One column.
 
     Attributes:
-        empty: It may be left out; then its value is None.
-        low: The least number that is accepted.
-        high: The greatest number that is accepted.
-        words: The known events: of a number from 0 on, or of a text.
-        defect: The reason of a row whose value is not accepted.
+        optional: The field may be empty; its value is then None.
+        low: The lowest number that is accepted.
+        high: The highest number that is accepted.
+        known_values: The accepted texts of a text column, or the event names of an integer column:
+            its value is the position of the name, from 0.
+        defect: Why a row is rejected whose value is not accepted.
     """
 
     name: str
@@ -68,13 +69,13 @@
 
     Attributes:
         header: The first line names the columns.
-        time_column: The column of a row's time; empty for a table to look things up in.
-        time_unit_us: The unit of that column.
-        special_times: Times that stand outside the order.
-        identity: A second row that is equal in these columns is a duplicate.
-        spans: Pairs of columns in which the second may not lie before the first.
-        repeated_count: So many further columns of whole numbers, named 1, 2, ...
-        identity_positions: The positions of the identity's columns.
+        time_column: The column with a row's time; empty where rows have none, as in lookup tables.
+        time_unit_us: The unit of that column, in microseconds.
+        special_times: Times with a special meaning, which are not part of the order.
+        identity: Columns that identify a row: a later row with equal values is a duplicate.
+        spans: Pairs of columns in which the second value may not be lower than the first.
+        repeated_count: Number of further integer columns, named 1, 2, ...
+        identity_positions: The positions of the identity columns.
     """
 
     name: str
@@ -95,18 +96,18 @@
 
     @property
     def column_names(self) -> tuple[str, ...]:
-        """The names of the table's own columns; repeated ones have none."""
+        """The names of the columns, without the repeated ones."""
         return tuple(column.name for column in self.columns)
 
     @property
     def width(self) -> int:
-        """Columns of a row."""
+        """The number of columns of a row."""
         return len(self.columns) + self.repeated_count
 
 
 @dataclass(slots=True, frozen=True)
 class Layout:
-    """A published layout; where it is not ``ordered``, no row is out of order."""
+    """A published layout; no row is rejected as out of order unless the layout is ``ordered``."""
 
     name: str
     description: str
--- a/umberusher/traces/machines.py
+++ b/umberusher/traces/machines.py
@@ -1,4 +1,4 @@
-"""Machine events of a trace as changes of the fleet that a replay plays."""
+"""Converts the machine events of a trace to changes of the fleet in a replay."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
 
     Args:
         paths: Files of machine events.
-        reader: Reads them, and counts the rows on which the script fails.
-        script: May hold ``machine(row)``; without it all machines are small.
+        reader: Reads the files and counts the rows on which the script fails.
+        script: May define ``machine(row)``; without that function all machines are of the default
+            kind, which is the small one.
     """
     events = []
     active: set[str] = set()
@@ -38,7 +39,7 @@
         if event == "ADD" and kind is not None:
             active.add(name)
         elif name not in active:
-            continue  # left out, or an event before the machine was added
+            continue  # The mapping leaves the machine out, or the event precedes its ADD.
         elif event == "REMOVE":
             active.discard(name)
         events.append(MachineEvent(row.time_us, name, event, kind))
@@ -62,13 +63,13 @@
 def rebase_machine_events(
     events: list[MachineEvent], start_us: int, scale: float, limit_us: float
 ) -> list[MachineEvent]:
-    """Return the events from a plan's start on; what was there before is added at 0.
+    """Return the events from a plan's start on; machines added earlier get an ADD event at time 0.
 
     Args:
-        events: In the time of the trace.
-        start_us: The plan's start in that time.
-        scale: From the trace's time to the plan's.
-        limit_us: The plan's end, in its own time.
+        events: The events, in the time of the trace.
+        start_us: The plan's start, in the time of the trace.
+        scale: Factor from the trace's time to the plan's.
+        limit_us: The plan's end, in the plan's time.
     """
     active: dict[str, MachineEvent] = {}
     later = []
--- a/umberusher/traces/mapping.py
+++ b/umberusher/traces/mapping.py
@@ -1,17 +1,16 @@
-"""Mapping scripts: from a trace's row to a request, or the reason why it is left out.
+"""Mapping scripts, which convert a trace's row to a request, or give the reason to skip the row.
 
-A mapping that fails on a row makes that row a reject; one that can't be used at all is a
-ScriptError.
+A row on which a mapping fails is rejected; a mapping that can't be used at all raises ScriptError.
 
-    classes = ["lookup", "report", "load"]      # those it may name; must be the settings'
-    def keep(row): ...          # True, or a text: why the row is left out
+    classes = ["lookup", "report", "load"]      # must be classes of the settings
+    def keep(row): ...          # True, or a text: the reason to skip the row (default True)
     def query_class(row): ...   # one of the classes
-    def work_ms(row): ...       # of one thread, over 0
-    def memory_mb(row): ...     # 0 or more                       (0 where it is not there)
-    def key(row): ...           # text, where the class keeps order (else none)
-    def group(row): ...         # number of a group of tables      (0 where it is not there)
-    def job(row): ...           # text; thinning takes whole jobs  (the row by itself)
-    def machine(row): ...       # of machine events: kind of engine, or None to leave it out
+    def work_ms(row): ...       # milliseconds of one thread, over 0
+    def memory_mb(row): ...     # 0 or more (default 0)
+    def key(row): ...           # text, for classes whose requests are ordered by key (default none)
+    def group(row): ...         # number of a group of tables (default 0)
+    def job(row): ...           # text; thinning keeps or drops complete jobs (default: the row)
+    def machine(row): ...       # for machine events: kind of engine, or None to leave it out
 """
 
 from __future__ import annotations
@@ -33,19 +32,19 @@
     "group": "0",
     "job": "None",
 }
-"""The optional functions, and the expression that stands for one that is not there."""
+"""The optional functions, each with the expression that is used where it is not defined."""
 
 MIN_WORK_MS = 0.001
 MAX_WORK_MS = 1e8
 MAX_MEMORY_MB = 1e6
 MAX_GROUP = 65_535
 MAX_TEXT_CHARS = 200
-MAX_SHOWN_CHARS = 40  # of a wrong value
+MAX_SHOWN_CHARS = 40  # of an invalid value, in error messages
 
 
 @dataclass(slots=True, frozen=True)
 class MappedRow:
-    """The request of a row."""
+    """The request that a row is mapped to."""
 
     query_class: str
     work_ms: float
@@ -57,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SkippedRow:
-    """A row that the mapping leaves out."""
+    """A row that the mapping skips, with the reason."""
 
     reason: str
 
@@ -69,11 +68,11 @@
         """Check a script.
 
         Args:
-            script: The script, with ``mapped_row`` behind it.
-            classes: The settings' classes; None where any will do.
+            script: The script, with ``mapped_row`` as its epilogue.
+            classes: The classes of the settings; None accepts any class.
 
         Raises:
-            ScriptError: It names unknown classes or lacks a function.
+            ScriptError: The script names unknown classes or lacks a required function.
         """
         self.script = script
         named = script.get("classes")
@@ -88,15 +87,14 @@
 
     @classmethod
     def load(cls, path: str, classes: Sequence[str] | None) -> Mapping:
-        """Load a file; ``classes`` are the settings', None where any will do."""
+        """Load a file; ``classes`` are those of the settings, and None accepts any class."""
         script = Script.load(path)
         calls = {
             name: f"{name}(row)" if script.has(name) else default
             for name, default in DEFAULT_RESULTS.items()
         }
         keep = calls.pop("keep")
-        # One call a row: crossing into the interpreter costs more than what these functions
-        # compute.
+        # One call per row: a call into the interpreter costs more than the work of these functions.
         epilogue = (
             f"def mapped_row(row):\n"
             f"    kept = {keep}\n"
@@ -107,7 +105,7 @@
         return cls(Script.load(path, epilogue=epilogue, values=("classes",)), classes)
 
     def map(self, row: Row, joined: dict[str, Any] | None = None) -> MappedRow | SkippedRow:
-        """Return the request of a row, with further values joined to it.
+        """Return the request of a row, or why it is skipped; ``joined`` adds values to the row.
 
         Raises:
             ScriptError: The mapping fails on the row.
@@ -132,7 +130,10 @@
 
 
 def named_values(row: Row) -> dict[str, Any]:
-    """Return a row as a mapping sees it: columns by name, events in words, and ``time_us``."""
+    """Return the row that a mapping is called with.
+
+    It holds the columns by name, events by their names instead of numbers, and ``time_us``.
+    """
     values: dict[str, Any] = {"time_us": row.time_us}
     for column, value in zip(row.table.columns, row.values, strict=False):
         is_event = column.known_values and column.kind is ColumnKind.INT
--- a/umberusher/traces/ordering.py
+++ b/umberusher/traces/ordering.py
@@ -1,4 +1,4 @@
-"""Rows in the order of their time, without duplicates; memory is bounded."""
+"""Sorts rows by time and removes duplicates, in bounded memory."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from umberusher.traces.defects import DefectReason, Tally
 from umberusher.traces.layouts import US_PER_SECOND, Table
 
-MAX_BUFFERED_ROWS = 200_000  # rows that wait to be put in order
+MAX_BUFFERED_ROWS = 200_000  # rows that wait in the reorder buffer
 MAX_REMEMBERED_IDENTITIES = 200_000
 MAX_SHOWN_IDENTITY_CHARS = 24
 _MIN_TIME_US = -(1 << 62)
@@ -20,7 +20,7 @@
 
 
 class Row(NamedTuple):
-    """One good row: ``values`` in the layout's order, ``time_us`` of the trace."""
+    """An accepted row: ``values`` in the order of the layout, ``time_us`` in the trace's time."""
 
     time_us: int
     file: str
@@ -30,13 +30,13 @@
 
 
 class ReorderBuffer:
-    """Puts rows in the order of their time within a window.
+    """Sorts rows by time within a window.
 
-    Rows behind the window are out of order, second ones duplicates. Rows that come in order stand
-    in a queue, the others in a heap beside it: most rows of an ordered file then cost no comparison
-    with others (measured in docs/traces.md). Rows of one time keep the order of the files. A
-    duplicate has its first one's time, so only rows of one time are compared, and no identity is
-    kept beyond its moment.
+    Rows older than the window are rejected as out of order, repeated ones as duplicates. Rows that
+    arrive in order are kept in a queue, the others in a heap: most rows of an ordered file then
+    need no comparison with other rows (docs/traces.md has the cost). Rows with equal times keep the
+    order of the files. A duplicate has the time of the first row, so only the identities of the
+    rows with the time released last are kept.
     """
 
     def __init__(self, window_us: int, tally: Tally, max_rows: int = MAX_BUFFERED_ROWS) -> None:
@@ -44,24 +44,24 @@
         self.queue: deque[tuple[int, int, Row]] = deque()
         self.late_rows: list[tuple[int, int, Row]] = []
         self.newest_us = _MIN_TIME_US
-        # Rows before it are due.
+        # Rows before this time are due for release.
         self.due_before_us = _MIN_TIME_US
         self._window_us = window_us
         self._tally = tally
         self._pushed_count = 0
         self._released_us = _MIN_TIME_US
-        # Identities of the rows released last, where they share a time.
+        # Identities of the released rows whose time is ``_released_us``.
         self._identities: set[tuple[Any, ...]] = set()
 
     @property
     def has_due(self) -> bool:
-        """Whether ``release`` may have rows to give."""
+        """Whether ``release`` may yield rows."""
         if self.late_rows or not self.queue:
             return True
         return self.queue[0][0] < self.due_before_us
 
     def push(self, row: Row) -> None:
-        """Take a row; it is rejected where the window has passed it."""
+        """Add a row; reject it if it is older than the window."""
         time_us = row.time_us
         self._pushed_count += 1
         if time_us >= self.newest_us:
@@ -80,14 +80,14 @@
             self._shorten_window()
 
     def _shorten_window(self) -> None:
-        """Release the oldest row's time: more rows fall into the window than may be held."""
+        """Make the rows with the oldest time due, since the buffer holds too many rows."""
         oldest_us = self.queue[0][0]
         if self.late_rows:
             oldest_us = min(oldest_us, self.late_rows[0][0])
         self.due_before_us = max(self.due_before_us, oldest_us + 1)
 
     def release(self) -> Iterator[Row]:
-        """Yield the rows that nothing can come before any more, in order."""
+        """Yield, in order, the rows that no later row of the files can precede."""
         queue = self.queue
         late_rows = self.late_rows
         while True:
@@ -104,7 +104,7 @@
                 yield row
 
     def drain(self) -> Iterator[Row]:
-        """Yield what is left, in order."""
+        """Yield the remaining rows, in order."""
         self.due_before_us = _MAX_TIME_US
         return self.release()
 
@@ -124,7 +124,7 @@
 
 
 class RecentIdentities:
-    """Identities of the newest rows, as hashes; forgets the oldest."""
+    """The identities of the newest rows, as hashes; the oldest ones are dropped."""
 
     def __init__(self, max_count: int = MAX_REMEMBERED_IDENTITIES) -> None:
         self._max_count = max_count
@@ -132,7 +132,10 @@
         self._older: set[int] = set()
 
     def add(self, identity: str) -> bool:
-        """Add an identity; return False if it was among the last ``max_count``, at the least."""
+        """Add an identity; return False if it is already known.
+
+        At least the last ``max_count`` identities are remembered.
+        """
         key = xxhash.xxh3_64_intdigest(identity.encode())
         if key in self._newest or key in self._older:
             return False
--- a/umberusher/traces/patterns.py
+++ b/umberusher/traces/patterns.py
@@ -1,7 +1,7 @@
-"""Made-up traces in the published layout of Google's task events and machine events.
+"""Synthetic traces in the published layout of Google's task events and machine events.
 
-Patterns that this site has never had: steady, flash crowd, heavy tail, diurnal, node loss.
-Everything is drawn from the seed; nothing is taken from published data.
+The patterns are loads that this site has never had: steady, flash crowd, heavy tail, diurnal and
+node loss. All values are random numbers from the seed; none are taken from published data.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Pattern(StrEnum):
-    """The patterns, by their words on the command line."""
+    """The patterns; the values are the choices of the command line."""
 
     STEADY = "steady"
     FLASH_CROWD = "flash-crowd"
@@ -30,10 +30,10 @@
 """The published window begins 600 s after time 0."""
 US_PER_SECOND = 1e6
 
-FLASH_CROWD_PEAK = 5.0
-FLASH_CROWD_START_FRACTION = 0.4  # fraction of the time
+FLASH_CROWD_PEAK = 5.0  # multiple of the rate outside the flash crowd
+FLASH_CROWD_START_FRACTION = 0.4  # of the trace's duration
 MAX_FLASH_CROWD_S = 30.0
-FLASH_CROWD_DIVISOR = 20  # of the time, where that gives a shorter crowd
+FLASH_CROWD_DIVISOR = 20  # A flash crowd lasts at most 1/20 of the trace's duration.
 DIURNAL_AMPLITUDE = 0.6
 DIURNAL_PEAK = 1.0 + DIURNAL_AMPLITUDE
 
@@ -42,7 +42,7 @@
 FIRST_JOB_ID = 6_000_000_000
 MAX_JOB_ID_STEP = 5_000
 MAX_TASKS_PER_JOB = 60
-TASK_COUNT_PARETO_SHAPE = 1.3  # of the Pareto distribution of a job's tasks
+TASK_COUNT_PARETO_SHAPE = 1.3
 MAX_USERS = 60
 MAX_MACHINES = 12_000
 SCHEDULE_DELAY_US = (1_000, 400_000)
@@ -53,14 +53,14 @@
 FIRST_MACHINE_ID = 1_000_000
 MACHINE_ID_RANGE = 9_000_000
 PLATFORM = "HofLGzk1Or/8Ildj2+Lqv0UGGvY82NLoni8+J/Yy0RU="
-LOSS_START_FRACTION = 0.35  # fraction of the time
+LOSS_START_FRACTION = 0.35  # of the trace's duration
 RECOVERY_START_FRACTION = 0.6
 LOSS_STEP_US = 200_000
 RECOVERY_STEP_US = 1_500_000
 
 
 def intensity(pattern: str, duration_s: float) -> Callable[[float], float]:
-    """Return the rate at a moment (s), as a multiple of the mean."""
+    """Return a function of the time in seconds: the rate then, as a multiple of the mean rate."""
     if pattern == Pattern.FLASH_CROWD:
         start_s = FLASH_CROWD_START_FRACTION * duration_s
         length_s = min(MAX_FLASH_CROWD_S, duration_s / FLASH_CROWD_DIVISOR)
@@ -73,7 +73,10 @@
 
 @dataclass(slots=True, frozen=True)
 class _Job:
-    """What the tasks of a job share: scheduling class and priority tell its query class."""
+    """The values that all tasks of a job share.
+
+    Mappings derive the query class from scheduling class and priority.
+    """
 
     job_id: int
     task_count: int
@@ -84,7 +87,7 @@
 
 
 class _JobSource:
-    """Draws jobs; the order of the draws must stay."""
+    """Creates random jobs; a seed gives the same trace only while the order of the draws stays."""
 
     def __init__(self, pattern: str, rng: random.Random) -> None:
         self._is_heavy_tail = pattern == Pattern.HEAVY_TAIL
@@ -92,7 +95,7 @@
         self._job_id = FIRST_JOB_ID
 
     def next_job(self) -> _Job:
-        """Draw a job."""
+        """Return the next random job."""
         rng = self._rng
         self._job_id += rng.randint(1, MAX_JOB_ID_STEP)
         if self._is_heavy_tail:
@@ -132,14 +135,15 @@
 def task_events(
     pattern: str, duration_s: float, rate: float, seed: int, max_rows: int = 0
 ) -> Iterator[str]:
-    """Yield lines of task_events: each task's SUBMIT and the SCHEDULE that follows it, by time.
+    """Yield lines of task_events, by time: the SUBMIT of each task and its later SCHEDULE.
 
     Args:
         pattern: One of PATTERNS.
         duration_s: Length of the trace.
-        rate: Mean tasks a second.
-        seed: Of all draws.
-        max_rows: Lines at the most, of those before the last arrival; 0 for no limit.
+        rate: Mean tasks per second.
+        seed: Seed of all random numbers.
+        max_rows: Maximum number of lines up to the last arrival; 0 for no limit. SCHEDULE lines
+            after the last arrival are not limited.
     """
     rng = random.Random(f"{pattern}/{seed}")
     jobs = _JobSource(pattern, rng)
@@ -175,7 +179,7 @@
 
 
 def _arrivals(pattern: str, duration_s: float, rate: float, rng: random.Random) -> Iterator[int]:
-    """Yield the times of arrivals, us, by thinning of a Poisson stream (Lewis and Shedler 1979)."""
+    """Yield arrival times, us, by thinning a Poisson process (Lewis and Shedler 1979)."""
     relative_rate = intensity(pattern, duration_s)
     peak = FLASH_CROWD_PEAK if pattern == Pattern.FLASH_CROWD else DIURNAL_PEAK
     at_s = 0.0
@@ -188,26 +192,26 @@
 
 @dataclass(slots=True, frozen=True)
 class _Machine:
-    """A machine of the fleet, with its capacity as a fraction of the largest."""
+    """A machine of the fleet; its capacity is a fraction of the largest machine's."""
 
     machine_id: int
     cpus: float
 
     def added_line(self, at_us: int) -> str:
-        """Return the line by which it comes."""
+        """Return the ADD line of the machine."""
         return f"{at_us},{self.machine_id},0,{PLATFORM},{self.cpus},{self.cpus / 2}"
 
     def removed_line(self, at_us: int) -> str:
-        """Return the line by which it goes."""
+        """Return the REMOVE line of the machine."""
         return f"{at_us},{self.machine_id},1,{PLATFORM},,"
 
 
 def machine_events(
     pattern: str, duration_s: float, seed: int, engine_count: int = DEFAULT_ENGINES
 ) -> Iterator[str]:
-    """Yield lines of machine_events: a fleet that is there from the start.
+    """Yield lines of machine_events: a fleet that exists from the start.
 
-    Node loss takes most of it at once and brings it back.
+    The pattern node loss removes most of the machines at once and adds them again later.
     """
     rng = random.Random(f"machines/{pattern}/{seed}")
     machines = [
--- a/umberusher/traces/plan.py
+++ b/umberusher/traces/plan.py
@@ -1,12 +1,14 @@
-"""Plans: what a replay plays, compiled from a trace's files and a mapping into one columnar file.
+"""Plans: the requests of a replay, compiled from a trace's files and a mapping.
+
+A plan is stored as one columnar file.
 
 The same files, mapping, options and seed give the same bytes:
 
-    magic "UMBPLAN1" | u32 header size | header (canonical JSON) | one zstd frame a column |
-    xxh3-128 of all before
+    magic "UMBPLAN1" | u32 header size | header (canonical JSON) | one zstd frame per column |
+    xxh3-128 of all preceding bytes
 
-Columns are arrays of fixed width, little-endian; ``keys`` and ``machines`` are JSON. zstandard's
-frames are the same for the same library version, which is pinned.
+Columns are arrays of fixed-width elements, little-endian; ``keys`` and ``machines`` are JSON. The
+zstd frames are reproducible only with the same version of zstandard, so its version is pinned.
 """
 
 from __future__ import annotations
@@ -32,7 +34,7 @@
 HEADER_SIZE_BYTES = 4
 US_PER_SECOND = 1e6
 MAX_COLUMN_BYTES = 1 << 31
-"""Guards memory against a header that lies."""
+"""Limits the memory that a header with a wrong column size can make the reader allocate."""
 
 COLUMNS = {
     "at_us": "Q",
@@ -43,19 +45,19 @@
     "key": "I",
     "job": "Q",
 }
-"""The columns with the type codes of :mod:`array`."""
+"""The columns, with their type codes of :mod:`array`."""
 KEYS_BLOCK = "keys"
 MACHINES_BLOCK = "machines"
-_FILE_FIELDS = ("version", "classes", "requests")  # of the header, made anew for each file
+_FILE_FIELDS = ("version", "classes", "requests")  # header fields that ``dump`` writes itself
 
 
 class PlanError(UsageError):
-    """A file is no plan, or is malformed."""
+    """A file is not a plan, or is malformed."""
 
 
 @dataclass(slots=True, frozen=True)
 class MachineEvent:
-    """One event of the fleet: ADD, REMOVE or UPDATE of a machine, us from the plan's start."""
+    """ADD, REMOVE or UPDATE of a machine of the fleet; ``at_us`` counts from the plan's start."""
 
     at_us: int
     machine: str
@@ -64,7 +66,7 @@
 
 
 class PlanRow(NamedTuple):
-    """One request: ``query_class`` is an index, ``job`` a hash; an empty key is none."""
+    """One request: ``query_class`` is an index, ``job`` a hash; an empty ``key`` means no key."""
 
     at_us: int
     query_class: int
@@ -77,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Block:
-    """A compressed part of the file."""
+    """A compressed block of the file; ``size`` is that of the decompressed content."""
 
     name: str
     compressed: bytes
@@ -90,7 +92,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """Requests as columns of one length, sorted by time; ``keys[0]`` is no key."""
+    """Requests as columns of equal length, sorted by time; ``keys[0]`` means no key."""
 
     classes: tuple[str, ...]
     header: dict[str, Any] = field(default_factory=dict)
@@ -103,7 +105,7 @@
 
     @property
     def seconds(self) -> float:
-        """From its start to its last request, or as the window says."""
+        """Duration until the last request, or the header's ``seconds`` if that is longer."""
         last_s = self.columns["at_us"][-1] / US_PER_SECOND if len(self) else 0.0
         return max(last_s, float(self.header.get("seconds", 0.0)))
 
@@ -128,7 +130,7 @@
         for at_us, query_class, work_ms, memory_mb, group, key, job in zip(*columns, strict=True):
             yield PlanRow(at_us, query_class, work_ms, memory_mb, group, self.keys[key], job)
 
-    # -- The file
+    # -- File format
 
     def dump(self) -> bytes:
         """Return the file's bytes."""
@@ -166,7 +168,7 @@
         """Read a file.
 
         Raises:
-            PlanError: It is no plan, of another version, cut off or malformed.
+            PlanError: The file is not a plan, has another version, is truncated or is malformed.
         """
         try:
             data = Path(path).read_bytes()
@@ -179,10 +181,10 @@
 
     @classmethod
     def parse(cls, data: bytes) -> Plan:
-        """Read the bytes of a file.
+        """Read a plan from the bytes of a file.
 
         Raises:
-            PlanError: They are no plan, of another version, cut off or malformed.
+            PlanError: They are not a plan, have another version, are truncated or are malformed.
         """
         _check_frame(data)
         try:
--- a/umberusher/traces/plots.py
+++ b/umberusher/traces/plots.py
@@ -1,4 +1,4 @@
-"""Plots of plans and of replays, drawn with matplotlib into bytes; nothing is computed here."""
+"""Draws plots of plans and replays with matplotlib and returns them as bytes of image files."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 import matplotlib
 
 matplotlib.use("Agg")
-# The same picture gives the same bytes.
+# With a fixed salt the same plot gives the same bytes.
 matplotlib.rcParams["svg.hashsalt"] = "umberusher"
 
-from matplotlib.figure import Figure  # noqa: E402  (the backend has to be named first)
+from matplotlib.figure import Figure  # noqa: E402  (the backend must be selected first)
 
 FIGURE_WIDTH_INCHES = 9
 FIGURE_HEIGHT_INCHES = 3
 BAR_HEIGHT_INCHES = 0.28
 
 WaterfallRow = tuple[str, Mapping[str, float], float]
-"""A name, the widths of its parts, and where its budget ends."""
+"""A name, the width of each part, and the position of the budget's mark."""
 
 
 def _render(figure: Figure, image_format: str) -> bytes:
@@ -38,7 +38,7 @@
     image_format: str = "svg",
     marks: Mapping[str, float] | None = None,
 ) -> bytes:
-    """Draw lines over one axis; ``marks`` are moments with a name."""
+    """Draw lines over one x axis; ``marks`` are named x values, drawn as vertical lines."""
     figure = Figure(figsize=(FIGURE_WIDTH_INCHES, FIGURE_HEIGHT_INCHES))
     axes = figure.subplots()
     for name, values in lines.items():
@@ -58,7 +58,7 @@
 def cumulative_distribution(
     title: str, samples: Mapping[str, Sequence[float]], *, x_label: str, image_format: str = "svg"
 ) -> bytes:
-    """Draw the fraction of samples up to a value, a line a name, on a logarithmic axis."""
+    """Draw the fraction of samples up to each value, on a logarithmic axis; one line per name."""
     figure = Figure(figsize=(FIGURE_WIDTH_INCHES, FIGURE_HEIGHT_INCHES))
     axes = figure.subplots()
     for name, values in samples.items():
@@ -80,7 +80,7 @@
     mark: str = "budget",
     x_label: str = "ms",
 ) -> bytes:
-    """Draw a bar a row, the first on top, its parts one behind the other, its budget marked."""
+    """Draw a stacked bar per row, the first row on top, each with a mark at its budget."""
     figure = Figure(figsize=(FIGURE_WIDTH_INCHES, 1 + BAR_HEIGHT_INCHES * max(len(rows), 1)))
     axes = figure.subplots()
     ends = [0.0] * len(rows)
--- a/umberusher/traces/reader.py
+++ b/umberusher/traces/reader.py
@@ -1,7 +1,7 @@
-"""Rows of a trace's files as values, in the order of their time.
+"""Reads the rows of a trace's files as values, in the order of their time.
 
-Every row that is not kept has its reason. Reading is streaming: memory is bounded by the reorder
-window, whatever the files hold.
+Each row that is not kept is counted with a reason. Files are streamed: memory is bounded by the
+reorder window, whatever the files contain.
 """
 
 from __future__ import annotations
@@ -27,25 +27,25 @@
 
 DEFAULT_REORDER_S = 10.0
 SPECIAL_TIME_US = -1
-"""The time of rows that stand before the window."""
+"""The time given to rows from before the published window."""
 PROGRESS_LINE_BITS = 13
-"""Progress is told once in 2 to the power of so many lines."""
+"""Progress is reported once per ``2 ** PROGRESS_LINE_BITS`` lines."""
 
 csv.field_size_limit(MAX_LINE_BYTES * 2)
 
 
 def _ignore_progress(_offset: int) -> None:
-    """Show no progress."""
+    """Do not report progress."""
 
 
 @dataclass(slots=True, frozen=True)
 class _TableReader:
-    """What reading a table's rows takes.
+    """The state and the settings for reading the rows of one table.
 
     Attributes:
-        has_time: Rows have a time; else the table is one to look things up in.
-        is_ordered: Rows stand in the order of their time, but for the special times.
-        time_position: The position of the time's column.
+        has_time: Rows have a time; those of lookup tables, for example, have none.
+        is_ordered: Rows are sorted by time, except those with a special time.
+        time_position: The position of the time column.
     """
 
     table: Table
@@ -73,7 +73,7 @@
 
 
 class Reader:
-    """Reads files of one layout, in the order given, as one stream of rows."""
+    """Reads files of one layout, in the given order, as one stream of rows."""
 
     def __init__(
         self,
@@ -86,10 +86,10 @@
         """Create a reader.
 
         Args:
-            layout: What the files hold.
-            reorder_s: How far a row may stand behind a later one.
-            strict: Whether the first defect ends the reading with StrictError.
-            progress: Told the offset in the file that is being read.
+            layout: The layout of the files.
+            reorder_s: Seconds by which a row may be older than the newest row before it.
+            strict: Whether the first defect raises StrictError.
+            progress: Called with the offset in the file that is being read.
         """
         self.layout = layout
         self.tally = Tally(strict)
@@ -98,10 +98,10 @@
         self._tables = {table.name: _TableReader.of(table, layout) for table in layout.tables}
 
     def rows(self, paths: list[str]) -> Iterator[Row]:
-        """Yield the good rows, in order.
+        """Yield the accepted rows, in order.
 
         Raises:
-            UsageError: A file can't be opened or is none of the layout's.
+            UsageError: A file can't be opened, or its header matches no table of the layout.
         """
         for path in self._sorted(paths):
             with _open(path) as source:
@@ -109,7 +109,7 @@
         yield from self.reorder_buffer.drain()
 
     def _sorted(self, paths: list[str]) -> list[str]:
-        """Return look-up tables first; a layout of one table keeps the order given."""
+        """Return the paths, lookup tables first; a layout with one table keeps the given order."""
         if len(self.layout.tables) == 1:
             return paths
         ranks = {}
@@ -154,7 +154,10 @@
     def _split_records(
         self, source: BinaryIO, name: str
     ) -> Iterator[tuple[int, list[str] | Defect]]:
-        """Yield the number and the fields of each record, up to the end or the cut of a stream."""
+        """Yield the line number and the fields of each record, up to the end of the stream.
+
+        A truncated or corrupt stream ends with one rejected row.
+        """
         feed = RecordFeed()
         splitter = csv.reader(feed, strict=True)
         number = 0
@@ -176,15 +179,15 @@
                     continue
                 yield number, fields
         except StreamError as error:
-            # Guards against a cut line that looks complete: what the stream left of it is one row,
-            # and rejected.
+            # The line at which the stream breaks off counts as one rejected row: the remainder of a
+            # truncated line can look like a complete one.
             self.tally.rows += 1
             self.tally.reject(error.reason, name, number + 1, str(error))
 
     def _convert(
         self, reader: _TableReader, name: str, number: int, fields: list[str]
     ) -> list[Any] | None:
-        """Return the values of a row; reject it and return None where any is not accepted."""
+        """Return the values of a row; reject it and return None if a value is not accepted."""
         try:
             return reader.convert(fields)
         except ValueError:
@@ -195,7 +198,7 @@
     def _accept_unordered(
         self, reader: _TableReader, name: str, number: int, fields: list[str]
     ) -> bool:
-        """Keep a row that stands outside the order, unless it is a duplicate."""
+        """Return whether to keep a row that is not sorted by time; reject duplicates."""
         table = reader.table
         if table.identity:
             identity = [fields[position] for position in table.identity_positions]
@@ -207,7 +210,7 @@
         return True
 
     def _track_time(self, reader: _TableReader, time: int) -> int:
-        """Return the time of a row outside the order, us; count it if it lies behind another."""
+        """Return the time of a row that is not sorted, us; count it if it follows a newer row."""
         if not reader.has_time or self.layout.ordered:
             return time
         time_us = time * reader.time_unit_us
--- a/umberusher/traces/records.py
+++ b/umberusher/traces/records.py
@@ -1,4 +1,4 @@
-"""Lines to records: lines are joined while a quote is open, then split by :mod:`csv`."""
+"""Joins lines to records: a record continues on the next line while a quote is open."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from umberusher.traces.streams import MAX_LINE_BYTES
 
 MAX_RECORD_LINES = 64
-"""Lines of one record: beyond that the open quote is the defect."""
+"""A quote that is still open after this many lines is a defect."""
 
 
 class Record(NamedTuple):
-    """A record's text, or what is wrong with it, and the number of its first line."""
+    """A record's text or its defect, with the number of its first line."""
 
     line: int
     text: str | Defect
 
 
 def read_records(source: Iterator[bytes]) -> Iterator[Record]:
-    """Yield the records of a file's lines; blank lines are none.
+    """Yield the records of a file's lines; blank lines are skipped.
 
-    Guards against one stray quote that swallows the file: over MAX_RECORD_LINES it is the defect,
-    and the lines behind its own are read again by themselves.
+    A stray quote must not make the whole file one record: if it is still open after
+    MAX_RECORD_LINES lines, its line is a defect and the lines after it are read again.
     """
     pushed_back: deque[tuple[int, bytes]] = deque()
     numbered = enumerate(source, 1)
@@ -56,7 +56,7 @@
     pushed_back: deque[tuple[int, bytes]],
     numbered: Iterator[tuple[int, bytes]],
 ) -> bytes | Defect:
-    """Join the lines of a record whose first one leaves a quote open."""
+    """Join the lines of a record whose first line leaves a quote open."""
     collected = [first]
     is_open = True
     while is_open and len(collected) < MAX_RECORD_LINES:
@@ -81,10 +81,11 @@
 
 
 class RecordFeed:
-    """An iterator for :func:`csv.reader` that gives it one record at a time.
+    """An iterator that passes one record at a time to :func:`csv.reader`.
 
-    Each record is given once: csv.reader asks for more where a record with an even number of quotes
-    still leaves one open (``x",y,"z``), and in strict mode raises csv.Error when there is none.
+    Each record is returned once: csv.reader requests another one where a record with an even number
+    of quotes still leaves one open (``x",y,"z``). Since the iterator then ends, csv.reader raises
+    csv.Error in strict mode.
     """
 
     def __init__(self) -> None:
--- a/umberusher/traces/scripts.py
+++ b/umberusher/traces/scripts.py
@@ -1,8 +1,8 @@
-"""Settings as Starlark scripts: loading, calling, and errors that name file, line and column.
+"""Loads and calls Starlark scripts with settings; errors name file, line and column.
 
-A script has no I/O and no imports, a bounded depth, and a bounded number of steps a call. Steps are
-counted by the interpreter and not by a clock, so that the same script ends at the same place on any
-machine.
+A script has no I/O and no imports; its call depth and its steps per call are limited. The
+interpreter counts the steps, and no clock is used, so that a script is stopped at the same step on
+any machine.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from umberusher.errors import UsageError
 
 MAX_CALL_DEPTH = 64
-MAX_LOAD_TICKS = 20_000  # of about 1,000 steps each
+MAX_LOAD_TICKS = 20_000  # A tick is about 1,000 steps of the interpreter.
 MAX_CALL_TICKS = 1_000
 _LOCATION = re.compile(r"--> (.*?):(\d+):(\d+)")
 _ERROR_PREFIX = "error:"
 
 
 class ScriptError(UsageError):
-    """A script failed: where and why, in one line."""
+    """A script failed; the text is one line that gives the location and the reason."""
 
 
 def _describe(error: starlark.StarlarkError, name: str) -> str:
-    """Return where in the script ``name`` an error arose, and why, as one line."""
+    """Return the location of an error in the script ``name`` and its reason, as one line."""
     text = str(error)
     locations = [match for match in _LOCATION.finditer(text) if match[1] == name]
     location = f"{name}:{locations[-1][2]}:{locations[-1][3]}" if locations else name
@@ -38,7 +38,7 @@
 
 
 class _TickLimit:
-    """Ends an evaluation after so many ticks; guards against nested loops that take for ever."""
+    """Stops an evaluation after a number of ticks, since nested loops could run without end."""
 
     def __init__(self, ticks: int) -> None:
         self.remaining = ticks
@@ -63,11 +63,11 @@
         """Load a script.
 
         Args:
-            name: Its name in errors.
-            text: The script.
-            epilogue: Run after the text.
-            values: Names of the values that ``get`` may ask for.
-            prelude: Run before the text; line numbers stay the text's.
+            name: The name of the script in errors.
+            text: The source of the script.
+            epilogue: Source that is evaluated after the text.
+            values: Names of the values that ``get`` can return.
+            prelude: Source that is evaluated before the text; it does not change the line numbers.
 
         Raises:
             ScriptError: The script fails.
@@ -117,7 +117,7 @@
         return re.search(rf"^def {re.escape(name)}\(", self.text, re.MULTILINE) is not None
 
     def get(self, name: str) -> Any:
-        """Return a value that the script has set; None where it has not."""
+        """Return a value that the script has set; None if it has not set it."""
         return self._values.get(name)
 
     def call(self, name: str, *values: Any) -> Any:
--- a/umberusher/traces/stats.py
+++ b/umberusher/traces/stats.py
@@ -1,8 +1,8 @@
-"""Figures of a plan: rates, burstiness, class mix, work. No I/O.
+"""Statistics of a plan: rates, burstiness, class mix and work; without I/O.
 
-The index of dispersion for counts, var/mean of arrivals in windows of one width (Cox and Lewis,
-1966), is 1 for a Poisson stream and grows with burstiness; it is given for several widths, since
-bursts show at their own.
+The index of dispersion for counts is the variance of the arrivals in windows of equal width,
+divided by their mean (Cox and Lewis, 1966). It is 1 for a Poisson process and grows with
+burstiness. It is computed for several widths, since a burst shows only at its own time scale.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def arrival_counts(plan: Plan, width_s: float) -> list[int]:
-    """Return the arrivals in each window of a width."""
+    """Return the number of arrivals in each window of the given width."""
     windows = [0] * max(math.ceil(plan.seconds / width_s), 1)
     width_us = width_s * 1e6
     for at_us in plan.columns["at_us"]:
@@ -30,7 +30,10 @@
 
 
 def dispersion(series: list[int]) -> float | None:
-    """Return variance by mean of counts; None where there are too few windows."""
+    """Return the variance of counts divided by their mean.
+
+    None where there are fewer than two windows or no arrivals.
+    """
     if len(series) < 2 or not sum(series):
         return None
     mean = sum(series) / len(series)
@@ -40,7 +43,7 @@
 def quantiles(
     values: list[float], points: tuple[float, ...] = DEFAULT_QUANTILES
 ) -> dict[str, float]:
-    """Return quantiles by rank; none of no values."""
+    """Return quantiles by rank; an empty dict for no values."""
     if not values:
         return {}
     ordered = sorted(values)
@@ -52,7 +55,7 @@
 
 
 def work_by_class(plan: Plan) -> dict[str, list[float]]:
-    """Return the work of each class's requests, ms."""
+    """Return the work of the requests of each class, ms."""
     work: dict[str, list[float]] = {name: [] for name in plan.classes}
     columns = plan.columns
     for work_ms, number in zip(columns["work_ms"], columns["query_class"], strict=True):
@@ -61,7 +64,7 @@
 
 
 def plan_statistics(plan: Plan) -> dict[str, Any]:
-    """Return all figures as JSON."""
+    """Return all statistics as a JSON document."""
     total = len(plan)
     duration_s = max(plan.seconds, MIN_DURATION_S)
     mean_per_s = total / duration_s
--- a/umberusher/traces/streams.py
+++ b/umberusher/traces/streams.py
@@ -1,7 +1,7 @@
-"""Files as lines: plain, gzip or zstd, told apart by their first bytes.
+"""Reads files as lines: plain, gzip or zstd, which their first bytes distinguish.
 
-A stream that is cut off gives what lies before the cut. Sources: RFC 1952 (gzip, also several
-members), RFC 8878 (zstd, also several frames).
+The complete lines of a truncated stream are read. Sources: RFC 1952 (gzip, also with several
+members), RFC 8878 (zstd, also with several frames).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 CHUNK_BYTES = 1 << 17
 MAX_DECOMPRESSED_CHUNK_BYTES = CHUNK_BYTES * 8
 MAX_LINE_BYTES = 1 << 20
-"""Guards memory against a file without line feeds."""
+"""Bounds the memory for a file without line feeds."""
 MAX_ZSTD_WINDOW_BYTES = 1 << 27
 GZIP_WINDOW_BITS = 31  # of zlib: the largest window, with a gzip header
 GZIP_MAGIC = b"\x1f\x8b"
@@ -26,7 +26,7 @@
 
 
 class StreamError(Exception):
-    """The stream ends here, and should not."""
+    """The stream is truncated or corrupt."""
 
     def __init__(self, reason: DefectReason, detail: str) -> None:
         super().__init__(detail)
@@ -86,7 +86,7 @@
     """Return the bytes of a stream, decompressed.
 
     Raises:
-        StreamError: After the last good bytes of a stream that is cut off or corrupt.
+        StreamError: After the last readable bytes of a truncated or corrupt stream.
     """
     first = source.read(CHUNK_BYTES)
     if first.startswith(GZIP_MAGIC):
@@ -97,13 +97,13 @@
 
 
 def lines(source: BinaryIO) -> Iterator[bytes]:
-    """Yield lines without their ends (LF or CR LF) and without a byte order mark.
+    """Yield lines without line ends (LF or CR LF) and without a byte order mark.
 
-    A line over MAX_LINE_BYTES is cut there, so that it can only be rejected.
+    A line over MAX_LINE_BYTES is truncated, but stays over that limit, so that it is rejected.
 
     Raises:
-        StreamError: After the last complete line; the part of a line that a cut left is not
-            given, since it must not pass for a line.
+        StreamError: After the last complete line of a truncated or corrupt stream. The remainder
+            of a truncated line is not yielded, since it could look like a complete line.
     """
     partial_line = b""
     is_first_chunk_read = False
