--- a/umberusher/commands/capacity.py
+++ b/umberusher/commands/capacity.py
@@ -1,4 +1,4 @@
-"""What capacity's commands share: plan, measurements and page as files, and program constants."""
+"""Shared code of the capacity commands: reads plan, measurements and page, and lists constants."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from umberusher.protocol import discovery as codec
 from umberusher.traces.scripts import Script, ScriptError
 
-# The program's own constants: a page that tells of one is renewed with it.
+# Constants of the program that the capacity page quotes: when one changes, the page must be updated.
 PROGRAM_CONSTANTS = {
     "poll_linger": Quantity.of(discovery_client.POLL_LINGER_MS, "ms"),
     "silent": Quantity.of(discovery_client.ANSWER_TIMEOUT_MS, "ms"),
@@ -36,12 +36,12 @@
     "probes": Quantity.of(health_checks.CHECKS_PER_REQUEST, "probe/statement"),
     "ejected_most": Quantity.of(outlier_detection.MAX_EJECTION_MS, "ms"),
 }
-# By the version in the record of watched brokers: the suffix of its key.
+# Maps the version in a record of watched brokers to the suffix of the record's key.
 VERSION_SUFFIXES = {"now": "", "before": EARLIER_VERSION}
 
 
 def program_constants(plan: Plan) -> dict[str, Quantity]:
-    """Return the program's constants, and those that go by the planned memory of a broker."""
+    """Return the program's constants and those derived from the planned memory of a broker."""
     list_max_bytes = codec.max_answer_bytes(plan.control_memory.to("MB/broker"))
     return PROGRAM_CONSTANTS | {
         "list_most": Quantity.of(list_max_bytes, "B/broker"),
@@ -50,10 +50,10 @@
 
 
 def load_plan(path: str) -> Plan:
-    """Return the numbers to plan with.
+    """Return the capacity plan in a file.
 
     Raises:
-        PlanError: The plan cannot be used; a line for each fault, by file, line and field.
+        PlanError: The plan is not valid; the text has one line per fault, with file, line and field.
     """
     try:
         script = Script.load(path, prelude=plans.PRELUDE, values=("size",))
@@ -64,12 +64,12 @@
 
 @dataclass(slots=True)
 class LoadedMeasurements:
-    """The measurements of a folder.
+    """The measurements in a folder.
 
     Attributes:
-        measurements: By their files' names without the suffix.
-        records: The scale runs and watched brokers among them.
-        faults: A line for each file that is no measurement.
+        measurements: The measurements, by file name without the suffix.
+        records: The records of scale runs and watched brokers among them.
+        faults: One line for each file that is not a valid measurement.
     """
 
     measurements: dict[str, Measurement] = field(default_factory=dict)
@@ -78,13 +78,13 @@
 
 
 def load_measurements(folder: str) -> LoadedMeasurements:
-    """Return all measurements and scale runs that are kept in a folder."""
+    """Return all measurements and scale runs in a folder."""
     loaded = LoadedMeasurements()
     for path in sorted(Path(folder).glob("*.json")):
         try:
             _load_measurement(path, loaded)
         except (OSError, ValueError) as error:
-            # A ValueError of the checks names the file; one of the JSON decoder does not.
+            # A ValueError raised by the checks names the file; one of the JSON decoder does not.
             text = str(error)
             message = text if text.startswith(str(path)) else f"{path}: {text}"
             loaded.faults.append(message.splitlines()[0])
@@ -102,7 +102,7 @@
 
 
 def _read_records(raw: dict[str, Any], key: str, file: str) -> dict[str, ScaleRecord]:
-    """Return the scale run, and the watched brokers of each version, that a measurement holds."""
+    """Return the records in a measurement: its scale run and its watched brokers per version."""
     records = {}
     if "figures" in raw:
         records[key] = read_scale_record(raw, file)
@@ -116,7 +116,7 @@
     """Return a page's text.
 
     Raises:
-        UsageError: It cannot be read.
+        UsageError: The page cannot be read.
     """
     try:
         return Path(path).read_text(encoding="utf-8")
@@ -130,10 +130,10 @@
     """The capacity page's content.
 
     Attributes:
-        costs: The costs that it is made of.
-        tables: Its tables by block.
+        costs: The costs that the page is computed from.
+        tables: The lines of each table, by block.
         rows: The rows of the roles' tables.
-        faults: A line for each file that is no measurement.
+        faults: One line for each file that is not a valid measurement.
     """
 
     costs: MeasuredCosts
@@ -143,10 +143,10 @@
 
 
 def make_report(args: argparse.Namespace) -> CapacityReport:
-    """Return the capacity page's content by the plan and the measurements of the command line.
+    """Return the capacity page's content for the plan and the measurements of the command line.
 
     Raises:
-        UsageError: The plan cannot be used, or a measurement has a wrong unit.
+        UsageError: The plan is not valid, or a measurement has a wrong unit.
     """
     loaded = load_measurements(args.measurements)
     plan = load_plan(args.plan)
--- a/umberusher/commands/capacity_check.py
+++ b/umberusher/commands/capacity_check.py
@@ -1,7 +1,7 @@
-"""``capacity check``: whether the page is what the committed measurements and the plan give.
+"""``capacity check``: checks that the page agrees with the committed measurements and the plan.
 
-A budget that is passed is named always. It is a fault only where the page does not tell it: what
-the program cannot do is the roadmap's, what the page does not say is this check's.
+Exceeded budgets are always printed. An exceeded budget is a fault only if the page does not mention
+it: the roadmap tracks what the program cannot do, this check finds what the page leaves out.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Check the page; return 0 where it is true, 1 with a line for each fault."""
+    """Check the page; return 0 if it is correct, else 1 and print a line for each fault."""
     report = capacity.make_report(args)
     page = capacity.read_page(args.page)
     allowed = allowed_quantities(report.costs.plan, report.costs.program)
--- a/umberusher/commands/capacity_show.py
+++ b/umberusher/commands/capacity_show.py
@@ -1,4 +1,4 @@
-"""``capacity show``: what each role needs at the planned size, its budget, and what carries it."""
+"""``capacity show``: each role's needs at the planned size, its budgets and its mechanisms."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print the tables, or make those of a page anew; return 0.
+    """Print the tables, or rewrite those of a page; return 0.
 
-    Files that are no measurements are named on standard error.
+    Files that are not valid measurements are reported on standard error.
     """
     report = capacity.make_report(args)
     tables = report.tables
@@ -34,10 +34,10 @@
 
 
 def _write_page(path: str, report: CapacityReport) -> None:
-    """Make a page's tables anew.
+    """Rewrite a page's tables.
 
     Raises:
-        UsageError: A measurement or the page cannot be read.
+        UsageError: A measurement cannot be read, or the page cannot be read or written.
     """
     if report.faults:
         raise UsageError(f"{path}: not written: a measurement can't be read")
--- a/umberusher/commands/check_config.py
+++ b/umberusher/commands/check_config.py
@@ -1,4 +1,4 @@
-"""``check-config``: read the configuration and print what it holds."""
+"""``check-config``: read the configuration and print a summary."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def run(_arguments: argparse.Namespace) -> int:
-    """Read the configuration and print what it holds."""
+    """Read the configuration and print a summary."""
     config = load(os.environ)
     engines = {entry.engine for event in config.initial_endpoints for entry in event.entries}
     listen = f"{config.listen[0]}:{config.listen[1]}"
--- a/umberusher/commands/contract_check.py
+++ b/umberusher/commands/contract_check.py
@@ -1,4 +1,4 @@
-"""``contract check``: all that is wrong with a contract, by file and line."""
+"""``contract check``: reports all faults of a contract, with file and line."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print a summary and return 0; a ContractError goes to the command line's handler."""
+    """Print a summary and return 0; the caller prints the faults in a ContractError."""
     classes = frozenset(args.classes.split(",")) if args.classes else None
     contract = load_contract(args.contract, classes)
     promised_threads = sum(team.work_rate for team in contract.teams.values()) / 1000.0
--- a/umberusher/commands/contract_diff.py
+++ b/umberusher/commands/contract_diff.py
@@ -1,4 +1,4 @@
-"""``contract diff``: what another contract changes, team by team and value by value."""
+"""``contract diff``: the differences between two contracts, by team and by value."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def changes(before: Contract, after: Contract) -> list[dict[str, Any]]:
     """Return each value that differs.
 
-    A class or team that is only on one side is one change with ``None``.
+    A class or team that only one contract has is one change, with ``None`` for the other contract.
     """
     return [
         *_changed_terms(before, after),
@@ -85,7 +85,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print a table; return 1 where anything differs, as diff(1)."""
+    """Print a table; return 1 if anything differs, as diff(1) does."""
     changed_values = changes(load_contract(args.contract), load_contract(args.other))
     tools.write_json(args.json, changed_values)
     if changed_values:
--- a/umberusher/commands/contract_show.py
+++ b/umberusher/commands/contract_show.py
@@ -1,4 +1,4 @@
-"""``contract show``: what each team is promised on a day."""
+"""``contract show``: the terms that each team is promised on a day."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def contract_rows(contract: Contract) -> list[dict[str, Any]]:
-    """Return a row for each team and class, with the fields of the results."""
+    """Return a row for each team and class, with the fields of the JSON output."""
     return [
         {
             "team": team.name,
--- a/umberusher/commands/contract_simulate.py
+++ b/umberusher/commands/contract_simulate.py
@@ -1,6 +1,6 @@
-"""``contract simulate``: plans through the budgets alone, without sockets or engines.
+"""``contract simulate``: runs plans through the budgets only, without sockets or engines.
 
-A request ends when its work is done at full speed.
+Each request runs at full speed and ends when its work is done.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class _RunningRequest(NamedTuple):
-    """A request that runs; the heap orders them by end, then by number."""
+    """A running request; the heap orders requests by end, then by number."""
 
     ends_ms: float
     number: int
@@ -33,7 +33,10 @@
 
 
 def simulate(contract: Contract, plans: dict[str, Plan], brokers: int) -> dict[str, Any]:
-    """Return what each team gets: requests go to the brokers in turn, and run at full speed."""
+    """Return the counts of admitted and rejected requests of each team.
+
+    Requests are distributed over the brokers round robin.
+    """
     unknown = sorted(set(plans) - set(contract.teams))
     if unknown:
         raise UsageError(f"the contract has no team {', '.join(unknown)}")
--- a/umberusher/commands/contract_statement.py
+++ b/umberusher/commands/contract_statement.py
@@ -1,4 +1,4 @@
-"""``contract statement``: what teams were promised, used and refused in a period, from logs."""
+"""``contract statement``: work promised and used, and requests rejected, by team, from logs."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print a table; return 1 where lines could not be used."""
+    """Print a table; return 1 if there were lines that could not be used."""
     contract = load_contract(args.contract)
     reader = StatementReader()
     for path in args.logs:
@@ -51,7 +51,7 @@
 
 
 def _table_row(team: dict[str, Any]) -> list[Any]:
-    refused = ", ".join(f"{reason} {count}" for reason, count in team["refused"].items())
+    rejected_text = ", ".join(f"{reason} {count}" for reason, count in team["refused"].items())
     return [
         team["team"],
         team["promised_work_s"],
@@ -60,14 +60,14 @@
         team["asked"],
         sum(team["own"].values()),
         sum(team["borrowed"].values()),
-        refused or 0,
+        rejected_text or 0,
         sum(team["served"].values()),
         team["worth"],
     ]
 
 
 def _write_plot(path: str, teams: list[dict[str, Any]]) -> None:
-    # The plotting library comes into memory only where a plot is wanted.
+    # Imported here so that the plotting library is loaded only if a plot is requested.
     from umberusher.traces import plots
 
     bars = []
--- a/umberusher/commands/contracts.py
+++ b/umberusher/commands/contracts.py
@@ -1,6 +1,6 @@
-"""Makes the enforcer of a contract's file, for ``serve`` and replays.
+"""Creates the enforcer of a contract file, for ``serve`` and replays.
 
-Imported only where a contract is named: Starlark comes into memory with it.
+This module is imported only if a contract is configured, because it loads Starlark into memory.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     settings: Settings,
     log_event: Callable[[Mapping[str, object], str], None] | None = None,
 ) -> Callable[[Timeline], ContractEnforcer]:
-    """Return what makes a broker's enforcer, given the broker's timeline.
+    """Return a function that creates a broker's enforcer, given the broker's timeline.
 
     Args:
         path: The contract's file.
--- a/umberusher/commands/deadlines_report.py
+++ b/umberusher/commands/deadlines_report.py
@@ -16,7 +16,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print the tables; return 1 where events could not be used."""
+    """Print the tables; return 1 if there were events that could not be used."""
     try:
         with Path(args.log).open(encoding="utf-8", errors="replace") as source:
             summary = summarize_log(args.log, source)
@@ -66,7 +66,7 @@
 
 
 def _write_plot(path: str, document: dict[str, Any]) -> None:
-    # The plotting library comes into memory only where a plot is wanted.
+    # Imported here so that the plotting library is loaded only if a plot is requested.
     from umberusher.traces import plots
 
     group_bars = [
--- a/umberusher/commands/demo.py
+++ b/umberusher/commands/demo.py
@@ -1,4 +1,4 @@
-"""``demo``: a short example replay from nothing: a made-up trace, its plan, a replay with faults, a report page."""
+"""``demo``: a short example without input files: a synthetic trace, its plan, a replay with faults, a report page."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from umberusher.traces.patterns import task_events
 from umberusher.traces.reader import Reader
 
-SECONDS, RATE, SEED = 40.0, 110.0, 7
-MAPPING = """
+DURATION_S, RATE_PER_S, SEED = 40.0, 110.0, 7
+MAPPING_SCRIPT = """
 def keep(row):
     return True if row["event_type"] == "SUBMIT" else "not a SUBMIT"
 def query_class(row):
@@ -39,22 +39,24 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Play it; under a minute on one core."""
+    """Run the demo, which takes under a minute on one core; return 1 if a rule was broken."""
     tools.configure_log(args.log_format)
     with tempfile.TemporaryDirectory(prefix="umberusher-demo-") as folder:
         trace, script = Path(folder) / "demo-task-events.csv", Path(folder) / "demo.star"
         trace.write_text(
-            "".join(f"{line}\n" for line in task_events("flash-crowd", SECONDS, RATE, SEED))
+            "".join(
+                f"{line}\n" for line in task_events("flash-crowd", DURATION_S, RATE_PER_S, SEED)
+            )
         )
-        script.write_text(MAPPING)
+        script.write_text(MAPPING_SCRIPT)
         builder = Builder(
             Mapping.load(str(script), CLASS_NAMES), Reader(TASK_EVENTS), BuildOptions(seed=SEED)
         )
         builder.read([str(trace)])
         plan = builder.plan([str(trace)], [])
     tools.out.print(
-        f"A made-up trace of {SECONDS:g} s, {len(plan)} requests, five times as many for 2 s; 7 stand-in "
-        "nodes, of which one falls silent and one ends; 2 brokers, on the step clock."
+        f"A synthetic trace of {DURATION_S:g} s, {len(plan)} requests, at five times the rate for 2 s; 7 stand-in "
+        "nodes, of which one stops responding and one crashes; 2 brokers, on the step clock."
     )
     options = ReplayOptions(
         seed=SEED,
--- a/umberusher/commands/log_filter.py
+++ b/umberusher/commands/log_filter.py
@@ -1,4 +1,4 @@
-"""Bounds how many log lines of one kind are written in a second."""
+"""Limits how many log lines of one event are written per second."""
 
 from __future__ import annotations
 
@@ -7,30 +7,29 @@
 from collections.abc import Callable
 
 MAX_LINES_PER_S = 20
-"""Lines with the same event, in one second."""
+"""Maximum number of lines with the same event in one second."""
 
 MAX_EVENTS = 256
-"""Events that are counted; lines of further events are not limited."""
+"""Maximum number of events that are counted; lines of further events are not limited."""
 
 
 class LogRateFilter(logging.Filter):
-    """Passes few lines of one event a second, and counts the rest.
+    """Limits the lines of each event per second, and counts the suppressed ones.
 
-    Guards against clients that are rejected by the hundred: each line costs more than the answer
-    that it is about.
+    When hundreds of clients are rejected, writing a log line costs more than the rejection itself.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
         self._clock = clock
-        # The second of the last line, and the lines in it, by the event (the text without values).
+        # By event (the text without values): the second of its last line, and its lines in that second.
         self._counts: dict[str, tuple[int, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether the line is written; add how many before it were not."""
+        """Return whether the line is written; append the number of suppressed lines before it."""
         event = record.msg
         if not isinstance(event, str):
-            # An event with fields, as --log-format writes them: a record of each is wanted.
+            # An event with fields, as --log-format writes them; each one must be logged.
             return True
         now_s = int(self._clock())
         second, count = self._counts.get(event, (now_s, 0))
--- a/umberusher/commands/scale_run.py
+++ b/umberusher/commands/scale_run.py
@@ -1,4 +1,4 @@
-"""``scale run``: play scenes with simulated brokers on the step clock, then run real ones."""
+"""``scale run``: simulates scenes with brokers on the step clock, then runs real brokers."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
 Figures = Mapping[str, Figure]
 
-# The figure of the slowest change, of a scene and of a phase with real brokers.
+# The name of a scene's figure for its slowest change, and the suffix of such figures of the phases
+# with real brokers.
 SLOWEST_CHANGE = "change in force at the last broker, largest"
 REAL_SLOWEST_SUFFIX = "in force, largest"
-# Figures that are printed; all of them are in the JSON.
+# The figures that are printed; the JSON holds all figures.
 SHOWN_FIGURES = (
     SLOWEST_CHANGE,
     "control bytes of a broker, mean",
@@ -39,11 +40,11 @@
     "rules broken",
 )
 TABLE_HEADERS = ["figure", "value", "unit"]
-MAX_DESCRIPTIONS = 20  # broken rules that the JSON describes
+MAX_DESCRIPTIONS = 20  # of broken rules, in the JSON
 
 
 class Exit(IntEnum):
-    """How the command ends."""
+    """The exit codes of the command."""
 
     ALL_PLAYED = 0
     RULE_BROKEN = 1
@@ -51,10 +52,10 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Play a plan and write its results; return how the command ends."""
+    """Run a plan and write its results; return the exit code."""
     log = tools.configure_log(args.log_format)
     plan = _read_plan(args)
-    # A plan's own signal handling: SIGTERM ends the run as Ctrl-C does, with its workers.
+    # During the run SIGTERM raises KeyboardInterrupt as Ctrl-C does, so that the workers end too.
     previous_handler = signal.signal(signal.SIGTERM, signal.default_int_handler)
 
     def on_scene(name: str, counts: SceneCounts) -> None:
@@ -86,7 +87,7 @@
 
 
 def _read_plan(args: argparse.Namespace) -> Plan:
-    """Return the plan with what the command line sets in its place."""
+    """Return the plan, with the seed and the workers of the command line if given."""
     plan = plans.load(args.plan)
     if args.seed is not None:
         plan.size.seed = args.seed
@@ -101,14 +102,14 @@
 
 
 def _command(args: argparse.Namespace, plan: Plan) -> str:
-    """Return the command that plays the same again."""
+    """Return the command that repeats the run."""
     command = f"umberusher scale run {args.plan} --seed {plan.size.seed:g}"
     command += f" --workers {plan.size.workers:g}"
     return f"{command} --only {args.only}" if args.only else command
 
 
 def _headline(plan: Plan, scenes: Mapping[str, Figures], real: Figures) -> HeadlineFigure:
-    """Return the slowest change of all scenes, or of the real brokers without scenes."""
+    """Return the slowest change of all scenes, or of the real brokers if there are no scenes."""
     delays_s = [
         figures[SLOWEST_CHANGE]["value"] for figures in scenes.values() if SLOWEST_CHANGE in figures
     ]
--- a/umberusher/commands/serve.py
+++ b/umberusher/commands/serve.py
@@ -15,7 +15,7 @@
 from umberusher.config import Config, load
 from umberusher.hot_restart.predecessor import socket_path
 
-if TYPE_CHECKING:  # Contracts come into memory only where they are used.
+if TYPE_CHECKING:  # The contract modules are loaded at run time only if a contract is configured.
     from umberusher.deadlines.timeline import Timeline
     from umberusher.pipeline.contracts import ContractEnforcer
 
@@ -26,8 +26,9 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run one broker until SIGTERM; SIGHUP has the configuration read again."""
-    # A SIGHUP before the broker runs would end the process; the configuration is read after this.
+    """Run one broker until SIGTERM; SIGHUP reloads the configuration."""
+    # A SIGHUP before the broker runs would end the process. Ignoring it loses no change of the
+    # configuration, which is read afterwards.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     config = _load_config()
     log_event = _configure_log(arguments)
@@ -54,10 +55,10 @@
 
 
 def _configure_log(arguments: argparse.Namespace) -> EventLogger | None:
-    """Set the log's form; return what writes structured events, None for a plain log."""
+    """Configure the log; return the writer of structured events, None for a plain log."""
     log_event = None
     if arguments.log_format:
-        # structlog comes into memory only where it is asked for.
+        # Imported here so that structlog is loaded only if a structured log is requested.
         from umberusher.commands import structured
 
         log_event = structured.configure_log(arguments.log_format, arguments.log_level)
@@ -72,10 +73,10 @@
 def _contracts_factory(
     arguments: argparse.Namespace, config: Config, log_event: EventLogger | None
 ) -> Callable[[Timeline], ContractEnforcer] | None:
-    """Return what makes the broker's enforcer of contracts; None without contracts."""
+    """Return a function that creates the broker's contract enforcer; None without a contract."""
     if not arguments.contract:
         return None
-    # Starlark and the contracts come into memory only where they are asked for.
+    # Imported here so that Starlark and the contract modules are loaded only if they are needed.
     from umberusher.commands import contracts
 
     return contracts.enforcer_factory(arguments.contract, config.settings, log_event)
--- a/umberusher/commands/structured.py
+++ b/umberusher/commands/structured.py
@@ -10,14 +10,14 @@
 
 
 def configure_log(log_format: str, level: str) -> Callable[..., None]:
-    """Write the log in this form to standard error.
+    """Configure the log, which is written to standard error.
 
     Args:
         log_format: ``json``, or ``text`` for ``key=value`` pairs.
         level: The name of the lowest level that is written.
 
     Returns:
-        What writes one event, given its fields and its kind.
+        A function that writes one event, given its fields and its kind.
     """
     shared_processors: list[structlog.typing.Processor] = [
         structlog.stdlib.add_log_level,
--- a/umberusher/commands/tools.py
+++ b/umberusher/commands/tools.py
@@ -1,4 +1,7 @@
-"""What the tools' commands share: the log by structlog, progress by rich, JSON files. Never imported by ``serve``."""
+"""Shared code of the tool commands: log by structlog, progress bars by rich, JSON files.
+
+``serve`` never imports this module: the libraries take memory that a broker does not have.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +19,14 @@
 
 from umberusher.errors import UsageError
 
-MAX_INSTANCES = 1_024  # nodes, and brokers, of one call: a pair may hold connections, all of them on this machine
+# Maximum number of nodes, and of brokers, in one run: each pair may open connections, and all of them
+# are on this machine.
+MAX_INSTANCES = 1_024
 out = Console(highlight=False, soft_wrap=True, width=None if sys.stdout.isatty() else 140)
 
 
 def configure_log(log_format: str, level: int = logging.INFO) -> Any:
-    """The log on standard error, as text or as a JSON line each."""
+    """Configure the log on standard error, as text or as one JSON object per line; return the logger."""
     renderer = (
         structlog.processors.JSONRenderer(sort_keys=True)
         if log_format == "json"
@@ -40,7 +45,7 @@
 
 
 def progress(description: str) -> Progress:
-    """A bar on standard error, shown only to a terminal."""
+    """Return a progress bar on standard error, which is shown only on a terminal."""
     console = Console(stderr=True)
     return Progress(
         TextColumn(description),
@@ -54,14 +59,14 @@
 
 
 def check_instance_count(option: str, count: int) -> int:
-    """A number of nodes or brokers; UsageError where it is out of range."""
+    """Return a number of nodes or brokers; raise UsageError if it is out of range."""
     if not 1 <= count <= MAX_INSTANCES:
         raise UsageError(f"{option}: expected 1 to {MAX_INSTANCES:,}, got {count:,}")
     return count
 
 
 def ensure_descriptor_limit(required: int) -> None:
-    """Let this process have so many; UsageError where the system won't."""
+    """Raise this process's limit on file descriptors; UsageError if the system allows too few."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     target = required if hard == resource.RLIM_INFINITY else hard
     if required > target:
@@ -73,13 +78,13 @@
 
 
 def write_json(path: str | None, value: Any) -> None:
-    """Write a document where one is asked for."""
+    """Write a JSON document if a path is given."""
     if path:
         write(path, json.dumps(value, indent=1, sort_keys=True).encode() + b"\n")
 
 
 def write(path: str | Path, data: bytes) -> None:
-    """Write a file; UsageError where that fails."""
+    """Write a file and create its folder; raise UsageError if that fails."""
     try:
         Path(path).parent.mkdir(parents=True, exist_ok=True)
         Path(path).write_bytes(data)
@@ -88,7 +93,7 @@
 
 
 def table(title: str, headers: list[str], rows: list[list[Any]]) -> None:
-    """A table on standard output; columns after the first are figures."""
+    """Print a table on standard output; the columns after the first hold numbers."""
     rich_table = Table(title=title, title_justify="left")
     for number, header in enumerate(headers):
         rich_table.add_column(header, justify="right" if number else "left")
--- a/umberusher/commands/trace_check.py
+++ b/umberusher/commands/trace_check.py
@@ -17,15 +17,15 @@
 
 
 def _ignore_progress(_size_bytes: int) -> None:
-    """Report nothing."""
+    """Do not report progress."""
 
 
-def checked_reader(
+def create_reader(
     args: argparse.Namespace,
     layout: str,
     progress: Callable[[int], None] = _ignore_progress,
 ) -> Reader:
-    """The reader that the options ask for; UsageError where they make no sense."""
+    """Return a reader with the options of the command line; raise UsageError if they are not valid."""
     if not 0 <= args.max_rejects <= 1:
         raise UsageError("--max-rejects: expected a share from 0 to 1")
     if not 0 <= args.reorder_s <= 86_400:
@@ -34,7 +34,7 @@
 
 
 def print_tally(tally: Tally) -> None:
-    """Print a tally's counts and first places."""
+    """Print a tally's counts and the first locations of each defect."""
     tools.out.print(
         f"rows {tally.rows}  kept {tally.kept}  reordered {tally.reordered}  "
         f"rejected {sum(tally.rejected.values())}"
@@ -48,7 +48,8 @@
                     reason,
                     count,
                     "; ".join(
-                        f"{p['file']}:{p['line']} ({p['what']})" for p in tally.examples[reason][:2]
+                        f"{example['file']}:{example['line']} ({example['what']})"
+                        for example in tally.examples[reason][:2]
                     ),
                 ]
                 for reason, count in tally.rejected.most_common()
@@ -57,9 +58,11 @@
 
 
 def exit_code_for(tally: Tally, max_rejected_fraction: float) -> int:
-    """Exit 1 over the stated share of rejects, or where a row is not accounted for."""
+    """Return 1 if too many rows were rejected or the counts do not add up, else 0."""
     if not tally.balanced:
-        tools.out.print("fault of the reader: rows are not kept + rejected")
+        tools.out.print(
+            "internal error: rows are not the sum of kept and rejected ones; the counts are not reliable"
+        )
         return 1
     if tally.rejected_fraction > max_rejected_fraction:
         tools.out.print(
@@ -70,20 +73,21 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Check; 0 good, 1 too many rejects or a first defect under ``--strict``."""
+    """Check files; return 1 for too many rejected rows, or for any defect with ``--strict``."""
     log = tools.configure_log(args.log_format)
     started_s = time.monotonic()
     total = sum(Path(path).stat().st_size for path in args.files if Path(path).exists())
     with tools.progress("checking") as bar:
-        task, done = bar.add_task("", total=total), [0, 0]
+        # The size of the files that are done, and the offset in the current file.
+        task, progress_bytes = bar.add_task("", total=total), [0, 0]
 
         def report_position(position: int) -> None:
-            if position < done[1]:
-                done[0] += done[1]
-            done[1] = position
-            bar.update(task, completed=done[0] + position)
+            if position < progress_bytes[1]:
+                progress_bytes[0] += progress_bytes[1]
+            progress_bytes[1] = position
+            bar.update(task, completed=progress_bytes[0] + position)
 
-        reader = checked_reader(args, args.layout, report_position)
+        reader = create_reader(args, args.layout, report_position)
         try:
             if args.mapping:
                 builder = Builder(Mapping.load(args.mapping, None), reader, BuildOptions())
--- a/umberusher/commands/trace_compare.py
+++ b/umberusher/commands/trace_compare.py
@@ -1,4 +1,4 @@
-"""``trace compare``: play a plan under several settings or seeds, in parallel processes."""
+"""``trace compare``: replay a plan with several settings or seeds, in parallel processes."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Play all; 1 where a rule is broken in any."""
+    """Run all replays; return 1 if a rule is broken in any of them."""
     log = tools.configure_log(args.log_format)
-    Plan.load(args.plan)  # guards against learning in every process that it is none
+    # A file that is not a plan fails here once, instead of in every process.
+    Plan.load(args.plan)
     variants = compare.variations(replay_options(args), compare.parse(args.vary))
     if args.clock == "wall" and args.jobs != 1:
         raise UsageError("--clock wall: replays side by side would slow each other; give --jobs 1")
--- a/umberusher/commands/trace_layouts.py
+++ b/umberusher/commands/trace_layouts.py
@@ -1,4 +1,4 @@
-"""``trace layouts``: the layouts that can be read, column for column."""
+"""``trace layouts``: print the columns of all supported layouts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def run(_: argparse.Namespace) -> int:
-    """Print them."""
+    """Print the layouts; return 0."""
     for layout in LAYOUTS.values():
         tools.out.print(f"{layout.name}: {layout.description}", markup=False)
         for note in layout.notes:
--- a/umberusher/commands/trace_make.py
+++ b/umberusher/commands/trace_make.py
@@ -1,4 +1,4 @@
-"""``trace make``: write a made-up trace in the layout of Google's task events."""
+"""``trace make``: write a synthetic trace in the layout of Google's task events."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Write it line by line."""
+    """Write the trace line by line; return 0."""
     if args.seconds <= 0 or args.rate <= 0:
         raise UsageError("--seconds and --rate must be over 0")
     count = 0
--- a/umberusher/commands/trace_plan.py
+++ b/umberusher/commands/trace_plan.py
@@ -5,7 +5,7 @@
 import argparse
 
 from umberusher.commands import tools
-from umberusher.commands.trace_check import checked_reader, exit_code_for, print_tally
+from umberusher.commands.trace_check import create_reader, exit_code_for, print_tally
 from umberusher.errors import UsageError
 from umberusher.replay.site import CLASS_NAMES
 from umberusher.traces.builder import Builder, BuildOptions, parse_window
@@ -16,7 +16,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Compile; 1 where a defect is not accepted."""
+    """Compile a plan; return 1 if a defect is not accepted or too many rows are rejected."""
     log = tools.configure_log(args.log_format)
     for name, low, high in (
         ("rate", 0.001, 1e6),
@@ -33,9 +33,9 @@
         args.thin,
         args.stretch,
     )
-    reader = checked_reader(args, args.layout)
+    reader = create_reader(args, args.layout)
     builder = Builder(Mapping.load(args.mapping, CLASS_NAMES), reader, options)
-    machine_reader = checked_reader(args, "google-2011-machine-events")
+    machine_reader = create_reader(args, "google-2011-machine-events")
     try:
         builder.read(args.files)
         script = Script.load(args.machine_mapping) if args.machine_mapping else None
--- a/umberusher/commands/trace_replay.py
+++ b/umberusher/commands/trace_replay.py
@@ -1,4 +1,4 @@
-"""``trace replay``: play a plan through real brokers and score it."""
+"""``trace replay``: replay a plan through real brokers and score it."""
 
 from __future__ import annotations
 
@@ -17,14 +17,13 @@
 from umberusher.traces.plan import Plan
 
 EXIT_NOT_SCORED, EXIT_RULE_BROKEN = 3, 1
-RESERVED_DESCRIPTORS, DESCRIPTORS_PER_BROKER = (
-    64,
-    24,
-)  # descriptors of this process; of a broker, its board and its clients at first
+# File descriptors of this process itself, and of each broker with its discovery service and its first
+# clients.
+RESERVED_DESCRIPTORS, DESCRIPTORS_PER_BROKER = 64, 24
 
 
 def replay_options(args: argparse.Namespace) -> ReplayOptions:
-    """The options of a replay; UsageError where they make no sense."""
+    """Return the options of a replay; raise UsageError if they are not valid."""
     tools.check_instance_count("--nodes", args.nodes)
     tools.check_instance_count("--brokers", args.brokers)
     if not 0 <= args.leave <= 1 or not 0 <= args.tight <= 1:
@@ -107,7 +106,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Play; 0 scored, 1 a rule is broken, 3 nothing was scored."""
+    """Run the replay; return 0 if it was scored, 1 if a rule was broken, 3 if it was not scored."""
     log = tools.configure_log(args.log_format)
     options, plan = replay_options(args), Plan.load(args.plan)
     tools.ensure_descriptor_limit(
@@ -123,9 +122,8 @@
         plan = merged.plan
         options.request_teams = merged.request_teams
     options.contract_path = args.contract
-    previous_handler = signal.signal(
-        signal.SIGTERM, signal.default_int_handler
-    )  # told to end: as by Ctrl-C
+    # During the replay SIGTERM raises KeyboardInterrupt, as Ctrl-C does.
+    previous_handler = signal.signal(signal.SIGTERM, signal.default_int_handler)
     with tools.progress("replaying") as bar:
         task = bar.add_task("", total=len(plan))
         result = run_replay(plan, options, lambda done: bar.update(task, completed=done))
--- a/umberusher/commands/trace_stats.py
+++ b/umberusher/commands/trace_stats.py
@@ -11,7 +11,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print the figures; write JSON and plots where asked."""
+    """Print the statistics; write JSON and plots if requested; return 0."""
     plan = Plan.load(args.plan)
     statistics = plan_statistics(plan)
     tools.write_json(args.json, statistics)
--- a/umberusher/commands/version.py
+++ b/umberusher/commands/version.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 import argparse
-from importlib import metadata  # Costs 4 MB, which a broker would hold for good.
+from importlib import metadata  # Takes 4 MB, which a broker that imports it would never free.
 
 
 def run(_arguments: argparse.Namespace) -> int:
     """Print the version."""
     try:
         version = metadata.version("umberusher")
-    except metadata.PackageNotFoundError:  # Run from a checkout.
+    except metadata.PackageNotFoundError:  # The program runs from a checkout.
         from umberusher import __version__
 
         version = __version__
--- a/umberusher/traces/builder.py
+++ b/umberusher/traces/builder.py
@@ -146,7 +146,7 @@
         if options.rate:
             requests = _thin(requests, options.rate / timing.trace_rate_per_s)
         plan = Plan(self._mapping.classes)
-        self._fill(plan, requests, timing)
+        self._append_requests(plan, requests, timing)
         start_us = (self._first_us or 0) + round(self._window_us[0]) + timing.start_us
         limit_us = timing.limit_us * timing.scale
         plan.machines = rebase_machine_events(machines, start_us, timing.scale, limit_us)
@@ -223,7 +223,7 @@
             speedup = max(options.rate / trace_rate_per_s, 1.0)
         return _Timing(start_us, limit_us, trace_rate_per_s, speedup, options.stretch / speedup)
 
-    def _fill(self, plan: Plan, requests: list[_Request], timing: _Timing) -> None:
+    def _append_requests(self, plan: Plan, requests: list[_Request], timing: _Timing) -> None:
         """Append the requests; keys are numbered in the order of their first use."""
         texts = list(self._key_numbers)
         plan_key_numbers: dict[int, int] = {0: 0}
--- a/umberusher/traces/converters.py
+++ b/umberusher/traces/converters.py
@@ -55,8 +55,8 @@
     """Return the source lines that convert and check one column."""
     is_text = column.kind is ColumnKind.TEXT
     conversion = "pass" if is_text else f"{variable} = {column.kind}({variable})"
-    test = _acceptance(variable, column)
-    check = f"if not ({test}): raise ValueError" if test else "pass"
+    condition = _acceptance(variable, column)
+    check = f"if not ({condition}): raise ValueError" if condition else "pass"
     if column.optional:
         return [
             f"    if {variable}:",
@@ -64,8 +64,8 @@
             f"        {check}",
             f"    else: {variable} = None",
         ]
-    present = [f"    if not {variable}: raise ValueError"] if is_text else []
-    return [*present, f"    {conversion}", f"    {check}"]
+    presence_check = [f"    if not {variable}: raise ValueError"] if is_text else []
+    return [*presence_check, f"    {conversion}", f"    {check}"]
 
 
 def _acceptance(variable: str, column: Column) -> str:
@@ -105,7 +105,7 @@
         defect = _column_defect(Column(str(number), ColumnKind.INT, low=0), text)
         if defect:
             return defect
-    raise AssertionError("the converter refuses what has no reason")
+    raise AssertionError("the converter rejected a row in which no defect was found")
 
 
 def _span_defect(table: Table, texts: dict[str, str]) -> Defect | None:
--- a/umberusher/traces/mapping.py
+++ b/umberusher/traces/mapping.py
@@ -75,9 +75,9 @@
             ScriptError: The script names unknown classes or lacks a required function.
         """
         self.script = script
-        named = script.get("classes")
-        self.classes = tuple(classes or named or ())
-        unknown = [name for name in named or () if name not in self.classes]
+        script_classes = script.get("classes")
+        self.classes = tuple(classes or script_classes or ())
+        unknown = [name for name in script_classes or () if name not in self.classes]
         if unknown:
             listed = ", ".join(map(repr, unknown))
             raise ScriptError(f"{script.name}: classes: the settings lack {listed}")
@@ -116,7 +116,7 @@
         query_class, work_ms, memory_mb, key, group, job = result
         if query_class not in self.classes:
             raise ScriptError(
-                f"{self.script.name}: query_class gave {_shown(query_class)}, "
+                f"{self.script.name}: query_class gave {_format_value(query_class)}, "
                 f"the settings have {', '.join(self.classes)}"
             )
         return MappedRow(
@@ -144,7 +144,7 @@
     return values
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     return repr(str(value)[:MAX_SHOWN_CHARS])
 
 
@@ -152,7 +152,7 @@
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not math.isfinite(value) or not low <= value <= high:  # type: ignore[arg-type,operator]
         raise ScriptError(
-            f"{name} gave {_shown(value)}, expected a number from {low:g} to {high:g}"
+            f"{name} gave {_format_value(value)}, expected a number from {low:g} to {high:g}"
         )
     return float(value)  # type: ignore[arg-type]
 
@@ -164,6 +164,6 @@
     text = str(value) if is_integer else value
     if not isinstance(text, str) or len(text) > MAX_TEXT_CHARS:
         raise ScriptError(
-            f"{name} gave {_shown(text)}, expected a text of at most {MAX_TEXT_CHARS}"
+            f"{name} gave {_format_value(text)}, expected a text of at most {MAX_TEXT_CHARS}"
         )
     return text
--- a/umberusher/traces/patterns.py
+++ b/umberusher/traces/patterns.py
@@ -224,10 +224,10 @@
         yield machine.added_line(0)
     if pattern != Pattern.NODE_LOSS:
         return
-    lost = machines[: max(engine_count * 4 // 7, 1)]
+    lost_machines = machines[: max(engine_count * 4 // 7, 1)]
     lost_us = START_US + int(LOSS_START_FRACTION * duration_s * US_PER_SECOND)
-    for number, machine in enumerate(lost):
+    for number, machine in enumerate(lost_machines):
         yield machine.removed_line(lost_us + number * LOSS_STEP_US)
     recovered_us = START_US + int(RECOVERY_START_FRACTION * duration_s * US_PER_SECOND)
-    for number, machine in enumerate(lost):
+    for number, machine in enumerate(lost_machines):
         yield machine.added_line(recovered_us + number * RECOVERY_STEP_US)
--- a/umberusher/traces/plan.py
+++ b/umberusher/traces/plan.py
@@ -211,7 +211,7 @@
         plan.machines = [MachineEvent(*item) for item in json.loads(raw[MACHINES_BLOCK])]
         plan.header = {key: value for key, value in header.items() if key not in _FILE_FIELDS}
         if {len(column) for column in plan.columns.values()} != {header["requests"]}:
-            raise PlanError("columns of different lengths")
+            raise PlanError("the columns have different lengths")
         return plan
 
     def _blocks(self) -> list[_Block]:
@@ -251,7 +251,7 @@
     for block in blocks:
         size = block["size"]
         if not 0 <= size <= MAX_COLUMN_BYTES:
-            raise PlanError(f"block {block['name']} of {size} bytes")
+            raise PlanError(f"block {block['name']} has an invalid size of {size} bytes")
         compressed = data[offset : offset + block["packed"]]
         offset += block["packed"]
         content = b""
--- a/umberusher/traces/reader.py
+++ b/umberusher/traces/reader.py
@@ -58,7 +58,7 @@
     special_times: frozenset[int]
 
     @classmethod
-    def of(cls, table: Table, layout: Layout) -> _TableReader:
+    def for_table(cls, table: Table, layout: Layout) -> _TableReader:
         has_time = bool(table.time_column)
         return cls(
             table,
@@ -95,7 +95,9 @@
         self.tally = Tally(strict)
         self.reorder_buffer = ReorderBuffer(round(reorder_s * US_PER_SECOND), self.tally)
         self._progress = progress
-        self._tables = {table.name: _TableReader.of(table, layout) for table in layout.tables}
+        self._tables = {
+            table.name: _TableReader.for_table(table, layout) for table in layout.tables
+        }
 
     def rows(self, paths: list[str]) -> Iterator[Row]:
         """Yield the accepted rows, in order.
@@ -118,7 +120,7 @@
                 record = next(read_records(lines(source)), None)
             text = record.text if record else ""
             header = [] if isinstance(text, Defect) else text.split(",")
-            ranks[path] = self.layout.tables.index(self._table_of(Path(path).name, header))
+            ranks[path] = self.layout.tables.index(self._find_table(Path(path).name, header))
         return sorted(paths, key=lambda path: -ranks[path])
 
     def _read_file(self, source: BinaryIO, name: str) -> Iterator[Row]:
@@ -131,7 +133,7 @@
         for number, fields in self._split_records(source, name):
             if reader is None:
                 header = [] if isinstance(fields, Defect) else fields
-                reader = self._tables[self._table_of(name, header).name]
+                reader = self._tables[self._find_table(name, header).name]
                 continue
             tally.rows += 1
             if isinstance(fields, Defect):
@@ -219,7 +221,7 @@
         self.reorder_buffer.newest_us = max(self.reorder_buffer.newest_us, time_us)
         return time_us
 
-    def _table_of(self, name: str, header: list[str]) -> Table:
+    def _find_table(self, name: str, header: list[str]) -> Table:
         """Return the table that a header names."""
         for table in self.layout.tables:
             names = list(table.column_names)
