--- a/tests/commands/test_log_filter.py
+++ b/tests/commands/test_log_filter.py
@@ -1,4 +1,4 @@
-"""The bound on log lines of one event."""
+"""The filter limits the log lines of one event per second and reports how many it suppressed."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from umberusher.commands import log_filter
 
 
-def test_filter_passes_few_lines_of_one_event_and_counts_the_rest():
-    now, told = [0.0], []
+def test_filter_limits_lines_of_one_event_and_counts_suppressed_ones():
+    now, passed_lines = [0.0], []
     handler = logging.Handler()
-    handler.emit = lambda record: told.append(record.getMessage())
+    handler.emit = lambda record: passed_lines.append(record.getMessage())
     handler.addFilter(log_filter.LogRateFilter(lambda: now[0]))
     log = logging.Logger("test")
     log.addHandler(handler)
     for number in range(100):
         log.warning("call %d", number)
     log.warning("another")
-    assert len(told) == log_filter.MAX_LINES_PER_S + 1
+    assert len(passed_lines) == log_filter.MAX_LINES_PER_S + 1
     now[0] = 1.0
     for number in range(100, 200):
         log.warning("call %d", number)
     assert (
-        told[log_filter.MAX_LINES_PER_S + 1]
+        passed_lines[log_filter.MAX_LINES_PER_S + 1]
         == f"call 100 suppressed_lines={100 - log_filter.MAX_LINES_PER_S}"
     )
-    assert len(told) == 2 * log_filter.MAX_LINES_PER_S + 1
+    assert len(passed_lines) == 2 * log_filter.MAX_LINES_PER_S + 1
 
 
-def test_filter_passes_every_event_with_fields_as_structlog_writes_them():
-    """Such a record's message is a dictionary, which can't be counted by its text."""
+def test_filter_passes_every_structured_event():
+    """The message of such a record is a dictionary, which can't be counted by its text."""
     rate_filter = log_filter.LogRateFilter(lambda: 0.0)
     fields = {"event": "request", "rid": "r-1"}
     record = logging.LogRecord("test", logging.INFO, "", 0, fields, (), None)
--- a/tests/commands/test_sizes.py
+++ b/tests/commands/test_sizes.py
@@ -1,4 +1,4 @@
-"""Bounds of what commands take."""
+"""The limits on node, broker and descriptor counts, and the errors beyond them."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
     ],
 )
 @pytest.mark.parametrize(
-    "count, told", [("1024", "none: "), ("1025", "expected 1 to 1,024, got 1,025"), ("0", "got 0")]
+    "count, message",
+    [("1024", "none: "), ("1025", "expected 1 to 1,024, got 1,025"), ("0", "got 0")],
 )
-def test_commands_take_1024_of_each_and_name_the_bound(command, count, told, capsys):
+def test_commands_accept_up_to_1024_instances_and_report_the_limit(command, count, message, capsys):
     assert (
         cli.main([*command, count, *(["--team", "a=none"] if command[0] == "contract" else [])])
         == 2
     )
-    assert told in capsys.readouterr().err
+    assert message in capsys.readouterr().err
 
 
-def test_replay_says_how_many_descriptors_it_needs_when_there_are_too_few(monkeypatch):
+def test_replay_reports_the_required_descriptors_when_the_limit_is_too_low(monkeypatch):
     monkeypatch.setattr(tools.resource, "getrlimit", lambda _: (256, 256))
     with pytest.raises(
         UsageError, match="1,000 descriptors are needed at the least, .* allows this process 256"
--- a/tests/nets/test_commands.py
+++ b/tests/nets/test_commands.py
@@ -1,4 +1,8 @@
-"""What commit 8ce8042 wrote is read as it was, and a wrong field gives the same exit code and the same line."""
+"""Guards the file formats, exit codes and messages that commit 8ce8042 had.
+
+Files that it wrote must be read with the same results. An input with a wrong field must give the same
+exit code and the same message.
+"""
 
 from __future__ import annotations
 
@@ -17,15 +21,15 @@
     return run(ROOT, tmp_path_factory.mktemp("commands"))
 
 
-def test_each_command_has_its_expectation():
+def test_each_command_has_an_expected_result():
     assert {each.name for each in (*GOOD, *BAD)} == EXPECTED_RESULTS.keys()
 
 
 @pytest.mark.parametrize("command", GOOD, ids=lambda command: command.name)
-def test_a_file_that_was_written_before_is_read_as_it_was(results, command: Command):
+def test_files_of_the_earlier_version_give_the_same_results(results, command: Command):
     assert results[command.name] == EXPECTED_RESULTS[command.name]
 
 
 @pytest.mark.parametrize("command", BAD, ids=lambda command: command.name)
-def test_a_bad_input_has_the_exit_code_and_the_line_that_it_had(results, command: Command):
+def test_malformed_input_gives_the_same_exit_code_and_message(results, command: Command):
     assert results[command.name] == EXPECTED_RESULTS[command.name]
--- a/tests/traces/test_traces.py
+++ b/tests/traces/test_traces.py
@@ -1,4 +1,8 @@
-"""Trace files: every row is kept or has its reason; mappings and plans from the layouts' own examples."""
+"""Trace files, mappings and plans, with the examples of each layout.
+
+Guards against rows that are lost without a reason, against files that are truncated, corrupt or out of
+order, and against plans that differ for the same input.
+"""
 
 from __future__ import annotations
 
@@ -30,8 +34,8 @@
 ROW = "600000000,,6251414911,{},,0,u7,2,0,0.0125,0.00778,0.0004,0"
 
 
-def read(layout: str, *paths, **more) -> tuple[Reader, list]:
-    reader = Reader(LAYOUTS[layout], **more)
+def read(layout: str, *paths, **options) -> tuple[Reader, list]:
+    reader = Reader(LAYOUTS[layout], **options)
     rows = list(reader.rows([str(path) for path in paths]))
     assert (
         reader.tally.balanced
@@ -47,7 +51,7 @@
     return path
 
 
-def test_each_defect_has_its_reason_and_its_line():
+def test_reader_reports_reason_and_line_of_each_defect():
     reader, rows = read("google-2011-task-events", EXAMPLES / "task_events-defects.csv")
     assert reader.tally.rejected == {
         "wrong column count": 1,
@@ -73,13 +77,12 @@
     assert reader.tally.reordered == 1 and [row.time_us for row in rows] == sorted(
         row.time_us for row in rows
     )
-    assert any(
-        row.values[6] == 'u "seven"\nof two' for row in rows
-    )  # BOM, CR LF and a quoted line feed passed
-    assert rows[-1].line == 25  # what stands behind the stray quote is read
+    # A byte order mark, CR LF and a quoted line feed are accepted.
+    assert any(row.values[6] == 'u "seven"\nof two' for row in rows)
+    assert rows[-1].line == 25  # The rows after the stray quote are read.
 
 
-def test_a_cut_stream_gives_what_lies_before_the_cut_and_rejects_the_line_it_went_through(tmp_path):
+def test_truncated_stream_yields_complete_lines_and_rejects_the_broken_one(tmp_path):
     reader, rows = read("google-2011-task-events", EXAMPLES / "task_events-cut.csv.gz")
     assert reader.tally.rejected == {"stream cut off": 1} and 200 < len(rows) < 400
     data = b"".join(f"{ROW.format(n)}\n".encode() for n in range(500))
@@ -92,19 +95,20 @@
         reader, rows = read("google-2011-task-events", lines(tmp_path, packed[:-9], f"{name}-cut"))
         assert reader.tally.rejected["stream cut off"] == 1
         reader, _ = read("google-2011-task-events", lines(tmp_path, packed + packed, f"{name}-two"))
-        assert reader.tally.rejected == {"duplicate": 500}  # a second member is read too
-    spoilt = bytearray(gzip.compress(data))
-    spoilt[len(spoilt) // 2] ^= 0xFF
-    reader, _ = read("google-2011-task-events", lines(tmp_path, bytes(spoilt), "spoilt"))
+        # The second gzip member or zstd frame is read too.
+        assert reader.tally.rejected == {"duplicate": 500}
+    corrupt = bytearray(gzip.compress(data))
+    corrupt[len(corrupt) // 2] ^= 0xFF
+    reader, _ = read("google-2011-task-events", lines(tmp_path, bytes(corrupt), "corrupt"))
     assert sum(reader.tally.rejected.values()) >= 1
 
 
-def test_order_is_kept_across_files_within_the_window_and_refused_beyond(tmp_path):
+def test_rows_are_sorted_across_files_within_the_window_and_rejected_beyond_it(tmp_path):
     rows = [
         ROW.format(n).replace("600000000", str(600_000_000 + at * 1_000_000), 1)
         for n, at in enumerate([0, 5, 3, 30, 22, 8])
     ]
-    first = lines(tmp_path, "\n".join(rows[:3]), "a.csv")  # no line feed at its end
+    first = lines(tmp_path, "\n".join(rows[:3]), "a.csv")  # without a line feed at its end
     second = lines(tmp_path, "\n".join(rows[3:]) + "\n", "b.csv")
     reader, found = read("google-2011-task-events", first, second)
     assert [row.time_us // 1_000_000 - 600 for row in found] == [0, 3, 5, 22, 30]
@@ -115,19 +119,19 @@
         read("google-2011-task-events", first, second, strict=True)
 
 
-def test_the_special_times_stand_outside_the_order_and_a_time_that_overflows_is_a_defect():
+def test_special_times_are_not_subject_to_the_order():
     _, rows = read("google-2011-task-events", EXAMPLES / "task_events-small.csv")
     assert rows[0].time_us == -1 and rows[-1].time_us > 1 << 62 or rows[0].time_us == -1
     assert sorted(row.time_us for row in rows)[-1] == (1 << 63) - 1
 
 
-def test_ten_thousand_arrivals_in_one_microsecond_all_stay(tmp_path):
+def test_ten_thousand_arrivals_in_one_microsecond_are_all_kept(tmp_path):
     path = lines(tmp_path, "".join(f"{ROW.format(n)}\n" for n in range(10_000)))
     _, rows = read("google-2011-task-events", path)
     assert [row.values[3] for row in rows] == list(range(10_000))
 
 
-def test_memory_is_bounded_where_a_file_puts_more_into_the_window_than_is_held(tmp_path):
+def test_reorder_buffer_is_bounded_when_more_rows_fall_into_the_window(tmp_path):
     reader = Reader(TASK_EVENTS)
     reader.reorder_buffer.max_rows = 100
     path = lines(
@@ -136,8 +140,8 @@
             ROW.format(n).replace("600000000", str(600_000_000 + n), 1) + "\n" for n in range(1_000)
         ),
     )
-    held = [len(reader.reorder_buffer.queue) for _ in reader.rows([str(path)])]
-    assert len(held) == 1_000 and max(held) <= 101
+    queue_lengths = [len(reader.reorder_buffer.queue) for _ in reader.rows([str(path)])]
+    assert len(queue_lengths) == 1_000 and max(queue_lengths) <= 101
 
 
 _FIELD = st.one_of(
@@ -169,7 +173,7 @@
         assert "header" in str(error)
 
 
-def test_a_record_whose_quotes_are_even_but_leave_one_open_is_rejected(tmp_path):
+def test_record_with_an_even_number_of_quotes_but_one_open_is_rejected(tmp_path):
     """A quote inside a field opens nothing; the next one, at a field's start, is never closed."""
     path = lines(tmp_path, b'x",y,"z\n')
     reader, rows = read("google-2011-task-events", path)
@@ -177,7 +181,7 @@
     assert reader.tally.rejected == {"unreadable bytes": 1}
 
 
-def test_a_row_that_its_converter_refuses_has_a_reason_for_each_kind():
+def test_diagnose_returns_the_reason_for_each_kind_of_defect():
     table = LAYOUTS["alibaba-2018-batch-task"].tables[0]
     good = ["M1", "1", "j", "1", "Terminated", "10", "12", "100", "0.5"]
     for at, text, reason in (
@@ -194,26 +198,26 @@
 # -- Mappings
 
 
-def test_a_mapping_is_bounded_and_its_errors_name_their_place(tmp_path):
-    def failing(text: str, call: str = "") -> str:
+def test_mapping_steps_are_limited_and_errors_name_their_location(tmp_path):
+    def error_of(text: str, call: str = "") -> str:
         with pytest.raises(ScriptError) as found:
             script = Script.load(str(lines(tmp_path, text, "m.star")))
             script.call(call, {"a": 1})
         return str(found.value)
 
-    assert failing("def f(:\n").startswith("m.star:1:7:")
-    assert failing("def f(row):\n    return row['zz']\n", "f").startswith("m.star:2:12:")
-    assert "reserved keyword `while`" in failing("while True:\n    pass\n")
-    assert "No imports" in failing("load('x', 'y')\n")
-    assert "too many steps" in failing(
+    assert error_of("def f(:\n").startswith("m.star:1:7:")
+    assert error_of("def f(row):\n    return row['zz']\n", "f").startswith("m.star:2:12:")
+    assert "reserved keyword `while`" in error_of("while True:\n    pass\n")
+    assert "No imports" in error_of("load('x', 'y')\n")
+    assert "too many steps" in error_of(
         "def f(row):\n    n = 0\n    for i in range(1000000000):\n        n += i\n    return n\n",
         "f",
     )
-    assert failing("def f(row):\n    return f(row)\n", "f")
-    assert failing("def f(row):\n    return open('x')\n", "f")
+    assert error_of("def f(row):\n    return f(row)\n", "f")
+    assert error_of("def f(row):\n    return open('x')\n", "f")
 
 
-def test_a_mapping_that_names_an_unknown_class_or_fails_on_a_row(tmp_path):
+def test_mapping_with_an_unknown_class_fails_at_load_or_rejects_its_rows(tmp_path):
     text = "classes = ['lookup', 'batch']\ndef query_class(row):\n    return 'batch'\ndef work_ms(row):\n    return 1\n"
     path = str(lines(tmp_path, text, "m.star"))
     with pytest.raises(ScriptError, match="m.star: classes: the settings lack 'batch'"):
@@ -231,7 +235,7 @@
 # -- Plans
 
 
-def plan_of(layout: str, mapping: str, *names: str, **options) -> Plan:
+def build_plan(layout: str, mapping: str, *names: str, **options) -> Plan:
     builder = Builder(
         Mapping.load(str(MAPPINGS / mapping), None),
         Reader(LAYOUTS[layout]),
@@ -253,59 +257,65 @@
         ),
     ],
 )
-def test_the_same_files_mapping_and_seed_give_the_same_bytes(layout, names):
-    plan = plan_of(layout, f"{layout}.star", *names, seed=5)
-    again = plan_of(layout, f"{layout}.star", *names, seed=5)
+def test_same_files_mapping_and_seed_give_the_same_plan_bytes(layout, names):
+    plan = build_plan(layout, f"{layout}.star", *names, seed=5)
+    again = build_plan(layout, f"{layout}.star", *names, seed=5)
     assert plan.dump() == again.dump() and len(plan) > 0
     assert Plan.parse(plan.dump()).dump() == plan.dump()
     assert list(plan.columns["at_us"]) == sorted(plan.columns["at_us"])
 
 
-def test_azure_counts_become_arrivals_within_their_minute_joined_with_durations_and_memory():
+def test_azure_counts_become_arrivals_with_joined_durations_and_memory():
     names = ["invocations-small.csv", "durations-small.csv", "memory-small.csv"]
-    plan = plan_of("azure-functions-2019", "azure-functions-2019.star", *names, seed=5)
-    begin = plan.columns["at_us"]
-    assert len(plan) == 20 + 40 + 5 + 12 + 3 and begin[-1] < 180e6
+    plan = build_plan("azure-functions-2019", "azure-functions-2019.star", *names, seed=5)
+    arrival_times_us = plan.columns["at_us"]
+    assert len(plan) == 20 + 40 + 5 + 12 + 3 and arrival_times_us[-1] < 180e6
     assert {round(each) for each in plan.columns["memory_mb"]} == {120, 64}
-    known = [
-        w
-        for w, cls in zip(plan.columns["work_ms"], plan.columns["query_class"], strict=True)
-        if cls == 0
+    known_durations_ms = [
+        work_ms
+        for work_ms, query_class in zip(
+            plan.columns["work_ms"], plan.columns["query_class"], strict=True
+        )
+        if query_class == 0
     ]
-    assert min(known) >= 10 and max(known) <= 400 and len(set(known)) > 30
-    part = plan_of(
+    assert (
+        min(known_durations_ms) >= 10
+        and max(known_durations_ms) <= 400
+        and len(set(known_durations_ms)) > 30
+    )
+    windowed = build_plan(
         "azure-functions-2019", "azure-functions-2019.star", *names, seed=5, window=(60.0, 120.0)
     )
-    assert len(part) == 40 + 6 + 3  # the same arrivals, whatever is cut out
-    other = plan_of("azure-functions-2019", "azure-functions-2019.star", *names, seed=6)
-    assert list(other.columns["at_us"]) != list(begin)
+    assert len(windowed) == 40 + 6 + 3  # The window does not change the arrivals in it.
+    other_seed = build_plan("azure-functions-2019", "azure-functions-2019.star", *names, seed=6)
+    assert list(other_seed.columns["at_us"]) != list(arrival_times_us)
 
 
-def test_thinning_takes_whole_jobs_and_rate_and_stretch_are_told(tmp_path):
+def test_thinning_keeps_complete_jobs_and_rate_and_stretch_scale_the_plan(tmp_path):
     path = lines(tmp_path, "".join(f"{line}\n" for line in task_events("steady", 60, 50, 3)))
-    whole = plan_of("google-2011-task-events", "google-2011-task-events.star", path)
+    full_plan = build_plan("google-2011-task-events", "google-2011-task-events.star", path)
     sizes = {}
-    for job in whole.columns["job"]:
+    for job in full_plan.columns["job"]:
         sizes[job] = sizes.get(job, 0) + 1
-    thin = plan_of("google-2011-task-events", "google-2011-task-events.star", path, thin=0.3)
-    assert 0.27 < len(thin) / len(whole) < 0.33
+    thinned = build_plan("google-2011-task-events", "google-2011-task-events.star", path, thin=0.3)
+    assert 0.27 < len(thinned) / len(full_plan) < 0.33
     assert all(
-        list(thin.columns["job"]).count(job) == sizes[job] for job in set(thin.columns["job"])
+        list(thinned.columns["job"]).count(job) == sizes[job] for job in set(thinned.columns["job"])
     )
-    slow = plan_of("google-2011-task-events", "google-2011-task-events.star", path, rate=10.0)
-    assert 9 < len(slow) / slow.seconds < 11 and slow.header["rate"] == 10.0
-    fast = plan_of("google-2011-task-events", "google-2011-task-events.star", path, rate=100.0)
-    assert len(fast) == len(whole) and 95 < len(fast) / fast.seconds < 105
-    wide = plan_of(
+    slower = build_plan("google-2011-task-events", "google-2011-task-events.star", path, rate=10.0)
+    assert 9 < len(slower) / slower.seconds < 11 and slower.header["rate"] == 10.0
+    faster = build_plan("google-2011-task-events", "google-2011-task-events.star", path, rate=100.0)
+    assert len(faster) == len(full_plan) and 95 < len(faster) / faster.seconds < 105
+    stretched = build_plan(
         "google-2011-task-events",
         "google-2011-task-events.star",
         path,
         stretch=2.0,
         window=(10.0, 20.0),
     )
-    assert 19 < wide.seconds <= 20.1
+    assert 19 < stretched.seconds <= 20.1
     with pytest.raises(UsageError, match="nothing is left.*not a SUBMIT"):
-        plan_of(
+        build_plan(
             "google-2011-task-events", "google-2011-task-events.star", path, window=(500.0, 600.0)
         )
     for text in ("5", "a:b", "9:3"):
@@ -313,16 +323,16 @@
             parse_window(text)
 
 
-def test_a_cut_or_spoilt_plan_is_refused(tmp_path):
-    data = plan_of(
+def test_truncated_or_corrupt_plan_is_rejected(tmp_path):
+    data = build_plan(
         "google-2011-task-events", "google-2011-task-events.star", "task_events-small.csv"
     ).dump()
-    for bad in (data[:-1], data[:40], data[:60] + b"x" + data[61:], b"", b"PK" + data):
+    for corrupt in (data[:-1], data[:40], data[:60] + b"x" + data[61:], b"", b"PK" + data):
         with pytest.raises(PlanError):
-            Plan.load(str(lines(tmp_path, bad, "p")))
+            Plan.load(str(lines(tmp_path, corrupt, "p")))
 
 
-def test_a_machine_that_goes_and_comes_again_keeps_its_id():
+def test_machine_that_is_removed_and_added_again_keeps_its_id():
     reader = Reader(MACHINE_EVENTS)
     found = read_machines(
         [str(EXAMPLES / "machine_events-small.csv")],
@@ -344,23 +354,23 @@
     ] and reader.tally.rejected
 
 
-# -- Figures and commands
+# -- Statistics and commands
 
 
-def test_the_index_of_dispersion_tells_bursts_from_chance(tmp_path):
+def test_index_of_dispersion_distinguishes_bursts_from_random_arrivals(tmp_path):
     assert dispersion([4, 4, 4, 4]) == 0 and dispersion([1]) is None
     found = {}
     for pattern in ("steady", "flash-crowd"):
         path = lines(tmp_path, "".join(f"{line}\n" for line in task_events(pattern, 60, 50, 3)))
         found[pattern] = plan_statistics(
-            plan_of("google-2011-task-events", "google-2011-task-events.star", path)
+            build_plan("google-2011-task-events", "google-2011-task-events.star", path)
         )
     assert found["steady"]["dispersion"]["1s"] < 2 < found["flash-crowd"]["dispersion"]["1s"]
     assert found["flash-crowd"]["peak_to_mean"] > 2.5
 
 
 @pytest.mark.parametrize("pattern", PATTERNS)
-def test_made_up_traces_are_free_of_defects(tmp_path, pattern):
+def test_synthetic_traces_have_no_defects(tmp_path, pattern):
     path = lines(tmp_path, "".join(f"{line}\n" for line in task_events(pattern, 20, 40, 1)))
     reader, rows = read("google-2011-task-events", path)
     assert not reader.tally.rejected and 600 < len(rows) / 2 < 1300
@@ -371,7 +381,7 @@
     assert not reader.tally.rejected
 
 
-def test_check_plan_and_stats_from_the_command_line(tmp_path, capsys):
+def test_trace_check_plan_stats_and_layouts_commands(tmp_path, capsys):
     small, out = str(EXAMPLES / "task_events-small.csv"), tmp_path / "out.json"
     layout = ["--layout", "google-2011-task-events"]
     assert cli.main(["trace", "check", *layout, "--json", str(out), small]) == 0
@@ -382,10 +392,10 @@
         "rejected": {},
         "examples": {},
     }
-    bad = str(EXAMPLES / "task_events-defects.csv")
-    assert cli.main(["trace", "check", *layout, bad]) == 1
-    assert cli.main(["trace", "check", *layout, "--max-rejects", "0.5", bad]) == 0
-    assert cli.main(["trace", "check", *layout, "--strict", bad]) == 1
+    defects_file = str(EXAMPLES / "task_events-defects.csv")
+    assert cli.main(["trace", "check", *layout, defects_file]) == 1
+    assert cli.main(["trace", "check", *layout, "--max-rejects", "0.5", defects_file]) == 0
+    assert cli.main(["trace", "check", *layout, "--strict", defects_file]) == 1
     assert "task_events-defects.csv:4: wrong column count" in capsys.readouterr().out
     assert cli.main(["trace", "check", *layout, str(tmp_path / "none.csv")]) == 2
     plan, mapping = str(tmp_path / "p.plan"), str(MAPPINGS / "google-2011-task-events.star")
