--- a/umberusher/commands/__init__.py
+++ b/umberusher/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The sub-commands, a module each, imported when called: ``run(args)`` gives the exit code."""
+"""One module per sub-command, imported when called; its ``run(args)`` returns the exit code."""
--- a/umberusher/commands/contract_show.py
+++ b/umberusher/commands/contract_show.py
@@ -38,7 +38,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print a table."""
+    """Print the result as a table; return 0."""
     try:
         day = date.fromisoformat(args.day) if args.day else datetime.now(UTC).date()
     except ValueError:
--- a/umberusher/commands/contract_simulate.py
+++ b/umberusher/commands/contract_simulate.py
@@ -92,7 +92,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print a table."""
+    """Print the result as a table; return 0."""
     tools.check_instance_count("--brokers", args.brokers)
     pairs = [argument.partition("=") for argument in args.team]
     if not all(separator for _, separator, _ in pairs):
