--- a/umberusher/commands/tools.py
+++ b/umberusher/commands/tools.py
@@ -1,4 +1,7 @@
-"""What the tools' commands share: the log by structlog, progress by rich, JSON files. Never imported by ``serve``."""
+"""Shared code of the tool commands: log by structlog, progress bars by rich, JSON files.
+
+``serve`` never imports this module: the libraries take memory that a broker does not have.
+"""
 
 from __future__ import annotations
 
@@ -16,22 +19,24 @@
 
 from umberusher.errors import UsageError
 
-PARTIES_MOST = 1_024  # nodes, and brokers, of one call: a pair may hold connections, all of them on this machine
+# Maximum number of nodes, and of brokers, in one run: each pair may open connections, and all of them
+# are on this machine.
+MAX_INSTANCES = 1_024
 out = Console(highlight=False, soft_wrap=True, width=None if sys.stdout.isatty() else 140)
 
 
-def log_to(form: str, level: int = logging.INFO) -> Any:
-    """The log on standard error, as text or as a JSON line each."""
-    shown = (
+def configure_log(log_format: str, level: int = logging.INFO) -> Any:
+    """Configure the log on standard error, as text or as one JSON object per line; return the logger."""
+    renderer = (
         structlog.processors.JSONRenderer(sort_keys=True)
-        if form == "json"
+        if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            shown,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
@@ -39,11 +44,11 @@
     return structlog.get_logger()
 
 
-def progress(told: str) -> Progress:
-    """A bar on standard error, shown only to a terminal."""
+def progress(description: str) -> Progress:
+    """Return a progress bar on standard error, which is shown only on a terminal."""
     console = Console(stderr=True)
     return Progress(
-        TextColumn(told),
+        TextColumn(description),
         BarColumn(),
         MofNCompleteColumn(),
         TimeElapsedColumn(),
@@ -53,33 +58,33 @@
     )
 
 
-def parties(option: str, count: int) -> int:
-    """A number of nodes or brokers; UsageError where it is out of range."""
-    if not 1 <= count <= PARTIES_MOST:
-        raise UsageError(f"{option}: expected 1 to {PARTIES_MOST:,}, got {count:,}")
+def check_instance_count(option: str, count: int) -> int:
+    """Return a number of nodes or brokers; raise UsageError if it is out of range."""
+    if not 1 <= count <= MAX_INSTANCES:
+        raise UsageError(f"{option}: expected 1 to {MAX_INSTANCES:,}, got {count:,}")
     return count
 
 
-def descriptors(wanted: int) -> None:
-    """Let this process have so many; UsageError where the system won't."""
+def ensure_descriptor_limit(required: int) -> None:
+    """Raise this process's limit on file descriptors; UsageError if the system allows too few."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = wanted if hard == resource.RLIM_INFINITY else hard
-    if wanted > most:
+    target = required if hard == resource.RLIM_INFINITY else hard
+    if required > target:
         raise UsageError(
-            f"{wanted:,} descriptors are needed at the least, the system allows this process {hard:,}"
+            f"{required:,} descriptors are needed at the least, the system allows this process {hard:,}"
         )
-    if soft != resource.RLIM_INFINITY and soft < most:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
+    if soft != resource.RLIM_INFINITY and soft < target:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (target, hard))
 
 
 def write_json(path: str | None, value: Any) -> None:
-    """Write a document where one is asked for."""
+    """Write a JSON document if a path is given."""
     if path:
         write(path, json.dumps(value, indent=1, sort_keys=True).encode() + b"\n")
 
 
 def write(path: str | Path, data: bytes) -> None:
-    """Write a file; UsageError where that fails."""
+    """Write a file and create its folder; raise UsageError if that fails."""
     try:
         Path(path).parent.mkdir(parents=True, exist_ok=True)
         Path(path).write_bytes(data)
@@ -87,11 +92,11 @@
         raise UsageError(f"{path}: {error.strerror}") from None
 
 
-def table(title: str, heads: list[str], rows: list[list[Any]]) -> None:
-    """A table on standard output; columns after the first are figures."""
-    made = Table(title=title, title_justify="left")
-    for number, head in enumerate(heads):
-        made.add_column(head, justify="right" if number else "left")
+def table(title: str, headers: list[str], rows: list[list[Any]]) -> None:
+    """Print a table on standard output; the columns after the first hold numbers."""
+    rich_table = Table(title=title, title_justify="left")
+    for number, header in enumerate(headers):
+        rich_table.add_column(header, justify="right" if number else "left")
     for row in rows:
-        made.add_row(*map(str, row))
-    out.print(made)
+        rich_table.add_row(*map(str, row))
+    out.print(rich_table)
--- a/umberusher/commands/trace_check.py
+++ b/umberusher/commands/trace_check.py
@@ -17,15 +17,15 @@
 
 
 def _ignore_progress(_size_bytes: int) -> None:
-    """Report nothing."""
+    """Do not report progress."""
 
 
-def checked_reader(
+def create_reader(
     args: argparse.Namespace,
     layout: str,
     progress: Callable[[int], None] = _ignore_progress,
 ) -> Reader:
-    """The reader that the options ask for; UsageError where they make no sense."""
+    """Return a reader with the options of the command line; raise UsageError if they are not valid."""
     if not 0 <= args.max_rejects <= 1:
         raise UsageError("--max-rejects: expected a share from 0 to 1")
     if not 0 <= args.reorder_s <= 86_400:
@@ -33,8 +33,8 @@
     return Reader(LAYOUTS[layout], reorder_s=args.reorder_s, strict=args.strict, progress=progress)
 
 
-def show(tally: Tally) -> None:
-    """Print a tally's counts and first places."""
+def print_tally(tally: Tally) -> None:
+    """Print a tally's counts and the first locations of each defect."""
     tools.out.print(
         f"rows {tally.rows}  kept {tally.kept}  reordered {tally.reordered}  "
         f"rejected {sum(tally.rejected.values())}"
@@ -48,7 +48,8 @@
                     reason,
                     count,
                     "; ".join(
-                        f"{p['file']}:{p['line']} ({p['what']})" for p in tally.examples[reason][:2]
+                        f"{example['file']}:{example['line']} ({example['what']})"
+                        for example in tally.examples[reason][:2]
                     ),
                 ]
                 for reason, count in tally.rejected.most_common()
@@ -56,48 +57,51 @@
         )
 
 
-def verdict(tally: Tally, most: float) -> int:
-    """Exit 1 over the stated share of rejects, or where a row is not accounted for."""
+def exit_code_for(tally: Tally, max_rejected_fraction: float) -> int:
+    """Return 1 if too many rows were rejected or the counts do not add up, else 0."""
     if not tally.balanced:
-        tools.out.print("fault of the reader: rows are not kept + rejected")
+        tools.out.print(
+            "internal error: rows are not the sum of kept and rejected ones; the counts are not reliable"
+        )
         return 1
-    if tally.rejected_fraction > most:
+    if tally.rejected_fraction > max_rejected_fraction:
         tools.out.print(
-            f"{100 * tally.rejected_fraction:.2f}% rejected, over the {100 * most:g}% of --max-rejects"
+            f"{100 * tally.rejected_fraction:.2f}% rejected, over the {100 * max_rejected_fraction:g}% of --max-rejects"
         )
         return 1
     return 0
 
 
 def run(args: argparse.Namespace) -> int:
-    """Check; 0 good, 1 too many rejects or a first defect under ``--strict``."""
-    log = tools.log_to(args.log_format)
-    begun = time.monotonic()
+    """Check files; return 1 for too many rejected rows, or for any defect with ``--strict``."""
+    log = tools.configure_log(args.log_format)
+    started_s = time.monotonic()
     total = sum(Path(path).stat().st_size for path in args.files if Path(path).exists())
     with tools.progress("checking") as bar:
-        task, done = bar.add_task("", total=total), [0, 0]
+        # The size of the files that are done, and the offset in the current file.
+        task, progress_bytes = bar.add_task("", total=total), [0, 0]
 
-        def at(size: int) -> None:
-            if size < done[1]:
-                done[0] += done[1]
-            done[1] = size
-            bar.update(task, completed=done[0] + size)
+        def report_position(position: int) -> None:
+            if position < progress_bytes[1]:
+                progress_bytes[0] += progress_bytes[1]
+            progress_bytes[1] = position
+            bar.update(task, completed=progress_bytes[0] + position)
 
-        reader = checked_reader(args, args.layout, at)
+        reader = create_reader(args, args.layout, report_position)
         try:
             if args.mapping:
                 builder = Builder(Mapping.load(args.mapping, None), reader, BuildOptions())
-                builder.keeps_requests = False
+                builder.stores_requests = False
                 builder.read(args.files)
             else:
                 for _ in reader.rows(args.files):
                     pass
-        except StrictError as fault:
+        except StrictError as error:
             tools.write_json(args.json, reader.tally.document())
-            tools.out.print(f"{fault}", markup=False)
+            tools.out.print(f"{error}", markup=False)
             return 1
-    seconds = time.monotonic() - begun
+    seconds = time.monotonic() - started_s
     log.info("checked", rows=reader.tally.rows, seconds=round(seconds, 2), files=len(args.files))
     tools.write_json(args.json, reader.tally.document())
-    show(reader.tally)
-    return verdict(reader.tally, args.max_rejects)
+    print_tally(reader.tally)
+    return exit_code_for(reader.tally, args.max_rejects)
--- a/umberusher/traces/builder.py
+++ b/umberusher/traces/builder.py
@@ -1,7 +1,7 @@
-"""From rows and a mapping to a plan.
+"""Builds a plan from the rows of a trace and a mapping.
 
-Rows are mapped, cut to the window, thinned by whole jobs, brought to a rate, then stretched. The
-plan's header tells each step.
+Rows are mapped, cut to the window, thinned by whole jobs, scaled to a rate, then stretched. The
+plan's header records each step.
 """
 
 from __future__ import annotations
@@ -15,32 +15,34 @@
 import xxhash
 
 from umberusher.errors import UsageError
-from umberusher.traces.azure import AppId, FunctionId, LookUpTables, draw_invocations
+from umberusher.traces.azure import AppId, FunctionId, LookupTables, draw_invocations
 from umberusher.traces.defects import DefectReason
 from umberusher.traces.hashing import hash_text
 from umberusher.traces.layouts import AFTER_WINDOW, AZURE, US_PER_SECOND
-from umberusher.traces.machines import fit_machines
-from umberusher.traces.mapping import LeftOutRow, MappedRow, Mapping
+from umberusher.traces.machines import rebase_machine_events
+from umberusher.traces.mapping import MappedRow, Mapping, SkippedRow
 from umberusher.traces.ordering import Row
 from umberusher.traces.plan import MachineEvent, Plan
 from umberusher.traces.reader import Reader
 from umberusher.traces.scripts import ScriptError
 
 MAX_REASON_CHARS = 80
-MAX_REASONS_SHOWN = 3
+MAX_SHOWN_REASONS = 3
 READ_CHUNK_BYTES = 1 << 20
 OUTSIDE_WINDOW = "outside the window asked for"
 
 
 @dataclass(slots=True)
 class BuildOptions:
-    """How a plan is made.
+    """How a plan is built.
 
     Attributes:
-        window: First and last second of the trace's time, from its first row; None for all.
-        rate: Requests a second of the plan; None for those of the trace.
+        seed: Seed of all hashes and random draws.
+        window: First and last second of the trace's time, counted from its first row; None for the
+            whole trace.
+        rate: Requests per second of the plan; None for the rate of the trace.
         thin: Fraction of the requests that is kept.
-        stretch: Factor on all times.
+        stretch: Factor by which all times are multiplied.
     """
 
     seed: int = 1
@@ -51,7 +53,7 @@
 
 
 class _Request(NamedTuple):
-    """A request before its key is numbered by the plan."""
+    """A request before the plan numbers its key."""
 
     at_us: int
     query_class: int
@@ -64,60 +66,60 @@
 
 @dataclass(slots=True, frozen=True)
 class _Timing:
-    """How the trace's times become the plan's.
+    """How the trace's times are converted to the plan's.
 
     Attributes:
-        start_us: The plan's start, in the builder's time.
-        limit_us: Its length before it is scaled.
-        natural_per_s: The rate of the trace.
-        squeeze: How much faster the trace passes to reach the rate.
-        scale: From the trace's time to the plan's.
+        start_us: The plan's start, relative to the start of the window.
+        limit_us: The plan's length before it is scaled.
+        trace_rate_per_s: The rate of the trace, requests per second.
+        speedup: Factor by which the trace is accelerated to reach the requested rate.
+        scale: Factor from the trace's time to the plan's.
     """
 
     start_us: int
     limit_us: float
-    natural_per_s: float
-    squeeze: float
+    trace_rate_per_s: float
+    speedup: float
     scale: float
 
 
 def parse_window(text: str) -> tuple[float, float]:
-    """Return the seconds of ``FROM:TO``; no TO is no end.
+    """Return the seconds of ``FROM:TO``; without TO the window has no end.
 
     Raises:
-        UsageError: The text is no window.
+        UsageError: The text is not a valid window.
     """
-    first, mark, last = text.partition(":")
+    first, separator, last = text.partition(":")
     try:
         window = (float(first or 0), float(last) if last else math.inf)
     except ValueError:
         window = (1.0, 0.0)
-    if not mark or not 0 <= window[0] < window[1]:
+    if not separator or not 0 <= window[0] < window[1]:
         raise UsageError(f"--window: expected FROM:TO in seconds, got {text!r}")
     return window
 
 
 class Builder:
-    """Collects requests; ``plan`` makes the plan of them."""
+    """Collects requests from a trace's rows; ``plan`` builds the plan from them."""
 
     def __init__(self, mapping: Mapping, reader: Reader, options: BuildOptions) -> None:
         self.reader = reader
-        self.left_out: Counter[str] = Counter()
-        # Else rows are mapped and counted only, and memory stays flat.
-        self.keeps_requests = True
+        self.skipped_counts: Counter[str] = Counter()
+        # Where False, rows are only mapped and counted: memory does not grow with the trace.
+        self.stores_requests = True
         self._mapping = mapping
         self._options = options
         self._requests: list[_Request] = []
         self._key_numbers: dict[str, int] = {"": 0}
-        self._tables = LookUpTables()
-        # Where windows count from: the first row's time, or 0 where rows stand in no order and the
-        # first says nothing.
+        self._tables = LookupTables()
+        # The time that windows are relative to: the first row's time, or 0 for layouts without an
+        # order, in which the first row need not be the earliest.
         self._first_us: int | None = None if reader.layout.ordered else 0
         first_s, end_s = options.window or (0.0, math.inf)
         self._window_us = (first_s * 1e6, end_s * 1e6)
 
     def read(self, paths: list[str]) -> None:
-        """Read and map files; a row on which the mapping fails is rejected with its reason."""
+        """Read and map files; a row on which the mapping fails is rejected with the reason."""
         is_azure = self.reader.layout is AZURE
         for row in self.reader.rows(paths):
             if not is_azure:
@@ -126,28 +128,28 @@
                 self._add_invocations(row)
 
     def plan(self, paths: list[str], machines: list[MachineEvent]) -> Plan:
-        """Return the plan of what was read.
+        """Return the plan of the requests read.
 
         Args:
-            paths: The files, for the header.
-            machines: The fleet's events, in the trace's time.
+            paths: The files that were read; the header lists them.
+            machines: The fleet's machine events, in the trace's time.
 
         Raises:
-            UsageError: Nothing is left for the plan.
+            UsageError: No request is left for the plan.
         """
         options = self._options
         requests = sorted(self._requests, key=lambda request: request.at_us)
         requests = _thin(requests, options.thin)
         if not requests:
-            raise UsageError(f"nothing is left for the plan: {self._reasons()}")
+            raise UsageError(f"nothing is left for the plan: {self._describe_skipped()}")
         timing = self._timing(requests)
         if options.rate:
-            requests = _thin(requests, options.rate / timing.natural_per_s)
+            requests = _thin(requests, options.rate / timing.trace_rate_per_s)
         plan = Plan(self._mapping.classes)
-        self._fill(plan, requests, timing)
+        self._append_requests(plan, requests, timing)
         start_us = (self._first_us or 0) + round(self._window_us[0]) + timing.start_us
         limit_us = timing.limit_us * timing.scale
-        plan.machines = fit_machines(machines, start_us, timing.scale, limit_us)
+        plan.machines = rebase_machine_events(machines, start_us, timing.scale, limit_us)
         plan.header = self._header(paths, timing)
         return plan
 
@@ -162,7 +164,7 @@
         function = FunctionId(*row.values[:3])
         memory_mb = self._tables.memory_mb.get(AppId(function.owner, function.app))
         for invocation in draw_invocations(row, self._options.seed, self._window_us):
-            duration_ms = self._tables.duration_ms(function, invocation.draw)
+            duration_ms = self._tables.duration_ms(function, invocation.duration_quantile)
             joined = {"duration_ms": duration_ms, "app_memory_mb": memory_mb}
             mapped = self._map(row, joined)
             if mapped is None:
@@ -170,25 +172,25 @@
             if isinstance(mapped, MappedRow):
                 self._add(invocation.at_us, mapped)
 
-    def _map(self, row: Row, joined: dict[str, Any]) -> MappedRow | LeftOutRow | None:
-        """Map a row; count what is left out, reject one that fails and return None for it."""
+    def _map(self, row: Row, joined: dict[str, Any]) -> MappedRow | SkippedRow | None:
+        """Map a row and count it if skipped; reject it and return None if the mapping fails."""
         try:
             mapped = self._mapping.map(row, joined)
         except ScriptError as error:
             tally = self.reader.tally
-            tally.kept -= 1  # it was good to the reader
+            tally.kept -= 1  # The reader has counted the row as kept.
             tally.reject(DefectReason.MAPPING_FAILED, row.file, row.line, str(error))
             return None
-        if isinstance(mapped, LeftOutRow):
-            self.left_out[mapped.reason[:MAX_REASON_CHARS]] += 1
+        if isinstance(mapped, SkippedRow):
+            self.skipped_counts[mapped.reason[:MAX_REASON_CHARS]] += 1
         return mapped
 
     def _add(self, at_us: int, mapped: MappedRow) -> None:
         first_us, end_us = self._window_us
         if not first_us <= at_us < end_us:
-            self.left_out[OUTSIDE_WINDOW] += 1
+            self.skipped_counts[OUTSIDE_WINDOW] += 1
             return
-        if not self.keeps_requests:
+        if not self.stores_requests:
             return
         key_number = self._key_numbers.setdefault(mapped.key, len(self._key_numbers))
         self._requests.append(
@@ -203,9 +205,9 @@
             )
         )
 
-    def _reasons(self) -> str:
-        reasons = self.left_out + self.reader.tally.rejected
-        shown = [f"{why} ({count})" for why, count in reasons.most_common(MAX_REASONS_SHOWN)]
+    def _describe_skipped(self) -> str:
+        reasons = self.skipped_counts + self.reader.tally.rejected
+        shown = [f"{reason} ({count})" for reason, count in reasons.most_common(MAX_SHOWN_REASONS)]
         return ", ".join(shown) or "no rows"
 
     def _timing(self, requests: list[_Request]) -> _Timing:
@@ -214,19 +216,19 @@
         start_us = 0 if options.window else requests[0].at_us
         first_us, end_us = self._window_us
         limit_us = min(end_us - first_us, requests[-1].at_us - start_us + 1)
-        natural_per_s = len(requests) / (limit_us / US_PER_SECOND)
-        squeeze = 1.0
+        trace_rate_per_s = len(requests) / (limit_us / US_PER_SECOND)
+        speedup = 1.0
         if options.rate:
-            # A trace with too few requests passes faster.
-            squeeze = max(options.rate / natural_per_s, 1.0)
-        return _Timing(start_us, limit_us, natural_per_s, squeeze, options.stretch / squeeze)
+            # A trace with too few requests per second is accelerated; one with too many is thinned.
+            speedup = max(options.rate / trace_rate_per_s, 1.0)
+        return _Timing(start_us, limit_us, trace_rate_per_s, speedup, options.stretch / speedup)
 
-    def _fill(self, plan: Plan, requests: list[_Request], timing: _Timing) -> None:
-        """Append the requests; keys are numbered by their first use."""
+    def _append_requests(self, plan: Plan, requests: list[_Request], timing: _Timing) -> None:
+        """Append the requests; keys are numbered in the order of their first use."""
         texts = list(self._key_numbers)
-        used: dict[int, int] = {0: 0}
+        plan_key_numbers: dict[int, int] = {0: 0}
         for request in requests:
-            key = used.setdefault(request.key_number, len(used))
+            key = plan_key_numbers.setdefault(request.key_number, len(plan_key_numbers))
             if key == len(plan.keys):
                 plan.keys.append(texts[request.key_number])
             at_us = round((request.at_us - timing.start_us) * timing.scale)
@@ -257,16 +259,16 @@
             "thin": options.thin,
             "rate": options.rate,
             "stretch": options.stretch,
-            "squeezed": timing.squeeze,
+            "squeezed": timing.speedup,
             "seconds": timing.limit_us * timing.scale / 1e6,
-            "natural_per_s": timing.natural_per_s,
+            "natural_per_s": timing.trace_rate_per_s,
             "defects": defects,
-            "left_out": dict(sorted(self.left_out.items())),
+            "left_out": dict(sorted(self.skipped_counts.items())),
         }
 
 
 def _thin(requests: list[_Request], fraction: float) -> list[_Request]:
-    """Keep whole jobs, in the order of their hash, until the fraction of requests is met."""
+    """Keep complete jobs, in the order of their hash, until the fraction of requests is reached."""
     if fraction >= 1.0:
         return requests
     sizes = Counter(request.job for request in requests)
