--- a/scripts/measure_cost.py
+++ b/scripts/measure_cost.py
@@ -1,28 +1,29 @@
-"""What a request costs a broker: this version's against another's, in one run, turn about.
+"""Measure what a request costs a broker: this version compared with another, alternating within one run.
 
     git worktree add /tmp/before REVISION
     python scripts/measure_cost.py /tmp/before [--rounds 5] [--requests 6000] [--rate 250] [--more "--receipts"]
 
-Each round starts one broker of each version as a process of its own, with the same stand-in nodes, board and clients in
-this process, and sends the same small requests at a fixed rate over sockets. Told are the broker's own processor time a
-request (user and system, from /proc), which is what bounds requests a second on one core, and the latency that clients
-saw at p50 and p99; of each the median of the rounds, and the ratio of both versions in each round.
+Each round starts one broker of each version as a separate process, with the same stand-in engines, discovery and
+clients in this process, and sends the same small requests at a fixed rate over sockets. It prints the broker's processor
+time per request (user and system, from /proc), which bounds requests per second on one core, and the client-side latency
+at p50 and p99: for each the median of the rounds, and the ratio of the two versions in each round.
 
     python scripts/measure_cost.py /tmp/before --closed [--clients 16] [--requests 12000]
 
-asks in a closed loop instead: each client has a connection and one call open on it, and asks again at its answer. The
-six stand-ins are in a process of their own and answer at once, the clients are in this one. Told are statements a
-second, the broker's processor time a statement, its share of a core and what one core bears at most by that.
+runs a closed loop instead: each client has one connection with one open call and sends the next call when it receives
+the answer. The six stand-in engines run in a separate process and answer at once; the clients run in this one. It prints
+statements per second, the broker's processor time per statement, its share of a core and the maximum rate on one core
+that follows from these.
 
     python scripts/measure_cost.py /tmp/before --idle [--connections 250 500 1000 2000 4000 8000]
 
-tells the memory that a connection holds which has asked once and is quiet: the broker's own memory over that before,
-divided by the connections, after the time in which buffers are given back.
+prints the memory held by a connection that has sent one check and is idle since: the growth of the broker's private
+memory divided by the number of connections, after the time in which idle buffers are released.
 
     python scripts/measure_cost.py ROOT --profile [--requests 6000]
 
-runs that one version's closed loop under cProfile, and tells calls and time a statement by function; its own time is
-stretched by the profiler. ``--json FILE --json-before FILE`` keep what was measured.
+runs the closed loop of that one version under cProfile and prints calls and time per statement by function; the
+profiler inflates the times. ``--json FILE --json-before FILE`` write the measurements.
 """
 
 from __future__ import annotations
@@ -66,73 +67,80 @@
 from umberusher.standin.statements import encode_statement
 from umberusher.standin.thrift_client import AnswerKind
 
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time of a process."""
+    """Return the user and system processor time of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def held(pid: int) -> tuple[float, int]:
-    """What a process holds: memory of its own in MB, and descriptors."""
+def memory_and_descriptors(pid: int) -> tuple[float, int]:
+    """Return the private memory of a process in MB and its number of open descriptors."""
     _, resident, shared, *_ = map(int, Path(f"/proc/{pid}/statm").read_text().split())
     return (resident - shared) * os.sysconf("SC_PAGE_SIZE") / 1e6, len(
         os.listdir(f"/proc/{pid}/fd")
     )
 
 
-def play(
-    root: str, more: list[str], requests: int, rate: float, engines: int = 6, brokers: int = 1
+def measure_open_loop(
+    root: str,
+    serve_options: list[str],
+    requests: int,
+    rate: float,
+    engines: int = 6,
+    brokers: int = 1,
 ) -> dict[str, float]:
-    """One broker of a version under load."""
+    """Measure one broker of a version at a fixed request rate."""
     loop = Loop(time.time)
 
-    def quiet(*_: object) -> None:
-        """Nothing is checked here."""
+    def ignore(*_: object) -> None:
+        """Discard the event: this program checks no rules."""
 
-    board = DiscoveryService(loop, quiet)
-    nodes = [Engine(loop, f"n-{n}", MachineShape(8, 16_384.0), quiet) for n in range(engines)]
-    board.publish([board.entry(node, "SERVING") for node in nodes], reset=True, delayed=False)
-    host, port = board.listen("b0")
+    discovery = DiscoveryService(loop, ignore)
+    nodes = [Engine(loop, f"n-{n}", MachineShape(8, 16_384.0), ignore) for n in range(engines)]
+    discovery.publish(
+        [discovery.entry(node, "SERVING") for node in nodes], reset=True, delayed=False
+    )
+    host, port = discovery.listen("b0")
     address = free_address()
-    raw = {
+    config = {
         "name": "b0",
         "listen": f"{address[0]}:{address[1]}",
         "seed": "0000000000000001",
         "board": f"{host}:{port}",
-        "known": board.snapshot(),
+        "known": discovery.snapshot(),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": site.settings(brokers, 0),
     }
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "b0.json"
-        path.write_text(json.dumps(raw))
+        path.write_text(json.dumps(config))
         child = subprocess.Popen(
-            [sys.executable, "-m", "umberusher", "serve", "--log-level", "error", *more],
+            [sys.executable, "-m", "umberusher", "serve", "--log-level", "error", *serve_options],
             cwd=root,
             env=os.environ | {"LB_CONFIG": str(path), "TMPDIR": folder},
         )
-        clients, begun_s = ClientPool(loop, "b0", address, quiet), time.time()
+        clients, started_s = ClientPool(loop, "b0", address, ignore), time.time()
         try:
             while not clients.ready:
                 if child.poll() is not None:
                     raise SystemExit("the broker did not start")
                 clients.send_check()
                 loop.step(5)
-            ready_s = time.time() - begun_s
+            ready_s = time.time() - started_s
             latencies: list[float] = []
             counted = {"served": 0, "other": 0}
 
-            def one(number: int, note: bool) -> None:
-                begun = time.perf_counter()
+            def send_request(number: int, record: bool) -> None:
+                sent_at_s = time.perf_counter()
                 body = encode_statement(number % 5, 2.0, 8.0, 1, False, f"{number:08x}")
 
-                def done(end: str, answer: object) -> None:
-                    counted["served" if end == "served" else "other"] += 1
-                    if note:
-                        latencies.append((time.perf_counter() - begun) * 1e3)
+                def on_answer(outcome: str, answer: object) -> None:
+                    counted["served" if outcome == "served" else "other"] += 1
+                    if record:
+                        latencies.append((time.perf_counter() - sent_at_s) * 1e3)
 
                 clients.send(
                     Call(
@@ -146,33 +154,37 @@
                         },
                         body,
                         2_000.0,
-                        done,
+                        on_answer,
                     )
                 )
 
-            number, first, warm = 0, time.time(), int(requests / 6)
-            spent = 0.0
+            number, first_send_s, warm_up_requests = 0, time.time(), int(requests / 6)
+            cpu_used_s = 0.0
             while sum(counted.values()) < requests:
-                while number < requests and time.time() >= first + number / rate:
-                    if number == warm:
-                        spent = cpu_s(child.pid)
-                    one(number, number >= warm)
+                while number < requests and time.time() >= first_send_s + number / rate:
+                    if number == warm_up_requests:
+                        cpu_used_s = cpu_s(child.pid)
+                    send_request(number, number >= warm_up_requests)
                     number += 1
-                due = (first + number / rate - time.time()) * 1e3 if number < requests else 20.0
-                loop.step(max(min(due, 20.0), 0.0))
-            spent = cpu_s(child.pid) - spent
-            memory_mb, descriptors = held(child.pid)
+                wait_ms = (
+                    (first_send_s + number / rate - time.time()) * 1e3
+                    if number < requests
+                    else 20.0
+                )
+                loop.step(max(min(wait_ms, 20.0), 0.0))
+            cpu_used_s = cpu_s(child.pid) - cpu_used_s
+            memory_mb, descriptors = memory_and_descriptors(child.pid)
         finally:
             child.send_signal(signal.SIGTERM)
             clients.close()
             child.wait(15)
             for node in nodes:
                 node.close()
-            board.close()
+            discovery.close()
             loop.close()
     latencies.sort()
     return {
-        "cpu_us": spent / (requests - warm) * 1e6,
+        "cpu_us": cpu_used_s / (requests - warm_up_requests) * 1e6,
         "p50_ms": latencies[len(latencies) // 2],
         "p99_ms": latencies[int(len(latencies) * 0.99)],
         "served": counted["served"] / requests,
@@ -184,7 +196,7 @@
 
 
 class InstantEngine:
-    """A stand-in that answers each request as it reads it; told to the board as a node is."""
+    """A stand-in engine that answers each request as it reads it, with the attributes that discovery lists."""
 
     def __init__(self, loop: Loop, name: str) -> None:
         self.loop, self.name, self.kind, self.zone, self.shape = (
@@ -198,15 +210,15 @@
         sock.bind(("127.0.0.1", 0))
         sock.listen(64)
         self.address = sock.getsockname()
-        self.listener = Listener(loop, sock, 64, self._accept, lambda: None)
+        self.listener = Listener(loop, sock, 64, self._on_accept, lambda: None)
         self.listener.set_paused(False)
 
-    def _accept(self, sock: socket.socket) -> None:
+    def _on_accept(self, sock: socket.socket) -> None:
         conn = connection.adopt_socket(self.loop, sock, 1 << 21, 1 << 20)
-        conn.on_data = lambda: self._data(conn)
+        conn.on_data = lambda: self._on_data(conn)
         self.loop.spawn(conn.serve())
 
-    def _data(self, conn: connection.Connection) -> None:
+    def _on_data(self, conn: connection.Connection) -> None:
         while conn.state is State.OPEN and (command := next_command(conn.inbound)) is not None:
             if command.word == "REQ":
                 row = f"{command.request_id}\t0\tdone\n".encode()
@@ -219,49 +231,51 @@
                 )
 
 
-def _stand_ins(engines: int, told: Any) -> None:
-    """A process of six engines and the board; ends when its other end of the pipe does."""
+def _serve_stand_ins(engines: int, parent: Any) -> None:
+    """Run the engines and discovery in this process until the parent sends a message or closes the pipe."""
     loop = Loop(time.time)
-    board = DiscoveryService(loop, lambda *_: None)
+    discovery = DiscoveryService(loop, lambda *_: None)
     nodes = [InstantEngine(loop, f"n-{n}") for n in range(engines)]
-    board.publish([board.entry(node, "SERVING") for node in nodes], reset=True, delayed=False)
-    host, port = board.listen("b0")
-    told.send((f"{host}:{port}", board.snapshot()))
-    while not told.poll():
+    discovery.publish(
+        [discovery.entry(node, "SERVING") for node in nodes], reset=True, delayed=False
+    )
+    host, port = discovery.listen("b0")
+    parent.send((f"{host}:{port}", discovery.snapshot()))
+    while not parent.poll():
         loop.step(100)
 
 
-class Asker:
-    """A client with one connection; asks as often as it is told to, one call after the other."""
+class StatementClient:
+    """A client with one connection; its caller decides when it sends the next call."""
 
     def __init__(
         self,
         loop: Loop,
         address: tuple[str, int],
-        heard: Callable[[Asker, thrift_client.Answer], None],
+        on_answer: Callable[[StatementClient, thrift_client.Answer], None],
     ) -> None:
         try:
             conn = connection.connect(loop, address, 1 << 20, 1 << 20)
         except connection.ConnectError as error:
-            raise SystemExit(f"a client's connection: {error}") from error
-        self.conn, self.heard, self.seqid, self.closed = conn, heard, 0, False
-        conn.on_data, conn.on_closed = self._data, self._closed
+            raise SystemExit(f"client connection failed: {error}") from error
+        self.conn, self.on_answer, self.seqid, self.is_closed = conn, on_answer, 0, False
+        conn.on_data, conn.on_closed = self._on_data, self._on_closed
         loop.spawn(conn.serve())
 
-    def _data(self) -> None:
-        while (found := thrift_client.next_answer(self.conn.inbound)) is not None:
-            self.heard(self, found)
+    def _on_data(self) -> None:
+        while (answer := thrift_client.next_answer(self.conn.inbound)) is not None:
+            self.on_answer(self, answer)
 
-    def _closed(self, why: str) -> None:
-        self.closed = True
+    def _on_closed(self, why: str) -> None:
+        self.is_closed = True
 
-    def check(self) -> None:
-        """Ask whether the broker is good."""
+    def send_check(self) -> None:
+        """Send a health check."""
         self.seqid += 1
         self.conn.send(RawMessage(thrift_client.encode_check(self.seqid)))
 
-    def ask(self, number: int) -> None:
-        """Ask a small statement."""
+    def send_statement(self, number: int) -> None:
+        """Send a small statement."""
         self.seqid += 1
         fields = {
             "method": "lookup",
@@ -275,29 +289,29 @@
 
 
 @contextlib.contextmanager
-def serving(
-    root: str, engines: int, sockets: int, more: list[str], profile: str = ""
+def running_broker(
+    root: str, engines: int, sockets: int, serve_options: list[str], profile: str = ""
 ) -> Iterator[tuple[int, tuple, Loop]]:
-    """A broker of a version before instant stand-ins: its process, its address, and a loop for its clients."""
-    there, here = multiprocessing.Pipe()
+    """Run a broker of a version in front of instant engines; yield its process id, address and a client loop."""
+    engine_end, own_end = multiprocessing.Pipe()
     stand_ins = multiprocessing.get_context("fork").Process(
-        target=_stand_ins, args=(engines, there), daemon=True
+        target=_serve_stand_ins, args=(engines, engine_end), daemon=True
     )
     stand_ins.start()
-    listed, known = here.recv()
+    discovery_address, known = own_end.recv()
     address, loop = free_address(), Loop(time.time)
-    raw = {
+    config = {
         "name": "b0",
         "listen": f"{address[0]}:{address[1]}",
         "seed": "0000000000000001",
-        "board": listed,
+        "board": discovery_address,
         "known": known,
         "limits": {"cores": 1.0, "memory_mb": 1_024, "sockets": sockets},
         "settings": site.settings(1, 0),
     }
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "b0.json"
-        path.write_text(json.dumps(raw))
+        path.write_text(json.dumps(config))
         command = [
             sys.executable,
             *(["-m", "cProfile", "-o", profile] if profile else []),
@@ -306,12 +320,12 @@
             "serve",
         ]
         child = subprocess.Popen(
-            [*command, "--log-level", "error", *more],
+            [*command, "--log-level", "error", *serve_options],
             cwd=root,
             env=os.environ | {"LB_CONFIG": str(path), "TMPDIR": folder},
         )
         try:
-            _until_good(loop, address, child)
+            _wait_until_ready(loop, address, child)
             yield child.pid, address, loop
         finally:
             child.send_signal(signal.SIGTERM)
@@ -319,117 +333,136 @@
                 child.wait(15)
             if child.poll() is None:
                 child.kill()
-            here.send(None)
+            own_end.send(None)
             stand_ins.join(5)
             loop.close()
 
 
-def _until_good(loop: Loop, address: tuple[str, int], child: subprocess.Popen) -> None:
-    good: list[bool] = []
-    until, asker = time.monotonic() + 15.0, None
-    while not any(good):
-        if child.poll() is not None or time.monotonic() > until:
+def _wait_until_ready(loop: Loop, address: tuple[str, int], child: subprocess.Popen) -> None:
+    ready_answers: list[bool] = []
+    deadline_s, client = time.monotonic() + 15.0, None
+    while not any(ready_answers):
+        if child.poll() is not None or time.monotonic() > deadline_s:
             raise SystemExit("the broker did not start")
-        if asker is None or asker.closed:
-            asker = Asker(loop, address, lambda _, found: good.append(found.ready))
-        asker.check()
+        if client is None or client.is_closed:
+            client = StatementClient(
+                loop, address, lambda _, answer: ready_answers.append(answer.ready)
+            )
+        client.send_check()
         loop.step(20)
         time.sleep(0.02)
-    asker.conn.close("it is good")
+    client.conn.close("the broker is ready")
 
 
-def closed(
-    root: str, more: list[str], requests: int, clients: int, engines: int = 6, profile: str = ""
+def measure_closed_loop(
+    root: str,
+    serve_options: list[str],
+    requests: int,
+    client_count: int,
+    engines: int = 6,
+    profile: str = "",
 ) -> dict[str, float]:
-    """One broker of a version under a closed loop."""
-    with serving(root, engines, 1_024, more, profile) as (pid, address, loop):
-        asked, served, other = 0, 0, 0
-
-        def heard(asker: Asker, found: thrift_client.Answer) -> None:
-            nonlocal asked, served, other
-            served += found.kind is AnswerKind.SERVED
-            other += found.kind is not AnswerKind.SERVED
-            if asked < requests:
-                asked += 1
-                asker.ask(asked)
-
-        askers = [Asker(loop, address, heard) for _ in range(clients)]
-        for each in askers:
-            asked += 1
-            each.ask(asked)
-        warm, until, begun, spent = requests // 6, time.monotonic() + 300.0, 0.0, 0.0
+    """Measure one broker of a version under a closed loop."""
+    with running_broker(root, engines, 1_024, serve_options, profile) as (pid, address, loop):
+        sent, served, other = 0, 0, 0
+
+        def on_answer(client: StatementClient, answer: thrift_client.Answer) -> None:
+            nonlocal sent, served, other
+            served += answer.kind is AnswerKind.SERVED
+            other += answer.kind is not AnswerKind.SERVED
+            if sent < requests:
+                sent += 1
+                client.send_statement(sent)
+
+        clients = [StatementClient(loop, address, on_answer) for _ in range(client_count)]
+        for each in clients:
+            sent += 1
+            each.send_statement(sent)
+        warm_up_requests, deadline_s, started_s, cpu_used_s = (
+            requests // 6,
+            time.monotonic() + 300.0,
+            0.0,
+            0.0,
+        )
         counted = 0
-        while served + other < requests and time.monotonic() < until:
+        while served + other < requests and time.monotonic() < deadline_s:
             loop.step(20)
-            if not begun and served + other >= warm:
-                begun, spent, counted = time.monotonic(), cpu_s(pid), served + other
-        passed, spent = time.monotonic() - begun, cpu_s(pid) - spent
+            if not started_s and served + other >= warm_up_requests:
+                started_s, cpu_used_s, counted = time.monotonic(), cpu_s(pid), served + other
+        elapsed_s, cpu_used_s = time.monotonic() - started_s, cpu_s(pid) - cpu_used_s
         counted = served + other - counted
-        for each in askers:
+        for each in clients:
             each.conn.close("done")
     return {
-        "cpu_us": spent / counted * 1e6,
-        "per_s": counted / passed,
-        "core": spent / passed,
-        "most_per_s": counted / spent,
+        "cpu_us": cpu_used_s / counted * 1e6,
+        "per_s": counted / elapsed_s,
+        "core": cpu_used_s / elapsed_s,
+        "most_per_s": counted / cpu_used_s,
         "served": served / requests,
         "other": other,
     }
 
 
-def idle(root: str, more: list[str], connections: int) -> dict[str, float]:
-    """Memory of a broker's own for each connection that has asked once and is quiet, in bytes."""
+def measure_idle_connections(
+    root: str, serve_options: list[str], connections: int
+) -> dict[str, float]:
+    """Return the private memory of a broker for each idle connection that has sent one check, in bytes."""
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
-    with serving(root, 6, 2 * connections + 512, more) as (pid, address, loop):
+    with running_broker(root, 6, 2 * connections + 512, serve_options) as (pid, address, loop):
         answers = 0
 
-        def heard(asker: Asker, found: thrift_client.Answer) -> None:
+        def on_answer(client: StatementClient, answer: thrift_client.Answer) -> None:
             nonlocal answers
             answers += 1
 
-        before = held(pid)[0]
-        askers: list[Asker] = []
-        while len(askers) < connections:
-            askers += [
-                Asker(loop, address, heard) for _ in range(min(50, connections - len(askers)))
+        before_mb = memory_and_descriptors(pid)[0]
+        clients: list[StatementClient] = []
+        while len(clients) < connections:
+            clients += [
+                StatementClient(loop, address, on_answer)
+                for _ in range(min(50, connections - len(clients)))
             ]
-            for each in askers[-50:]:
-                each.check()
-            until = time.monotonic() + 5.0
-            while answers < len(askers) and time.monotonic() < until:
+            for each in clients[-50:]:
+                each.send_check()
+            deadline_s = time.monotonic() + 5.0
+            while answers < len(clients) and time.monotonic() < deadline_s:
                 loop.step(5)
-        until = (
+        deadline_s = (
             time.monotonic() + 1.6
-        )  # longer than a quiet connection keeps its buffers, shorter than it stays open
-        while time.monotonic() < until:
+        )  # longer than an idle connection keeps its buffers, shorter than its idle timeout
+        while time.monotonic() < deadline_s:
             loop.step(20)
-        after = held(pid)[0]
-        gone = sum(each.closed for each in askers)
-        for each in askers:
+        after_mb = memory_and_descriptors(pid)[0]
+        closed_count = sum(each.is_closed for each in clients)
+        for each in clients:
             each.conn.close("done")
-    return {"bytes": (after - before) * 1e6 / connections, "gone": gone, "mb": after}
+    return {
+        "bytes": (after_mb - before_mb) * 1e6 / connections,
+        "gone": closed_count,
+        "mb": after_mb,
+    }
 
 
-def profiled(root: str, requests: int, clients: int, lines: int) -> None:
-    """Calls and time a statement by function, of one version."""
+def print_profile(root: str, requests: int, client_count: int, function_count: int) -> None:
+    """Print calls and time per statement by function for one version."""
     with tempfile.TemporaryDirectory() as folder:
         path = str(Path(folder) / "stats")
-        found = closed(root, [], requests, clients, profile=path)
+        result = measure_closed_loop(root, [], requests, client_count, profile=path)
         stats = pstats.Stats(path).stats
-    print({key: round(value, 3) for key, value in found.items()})
+    print({key: round(value, 3) for key, value in result.items()})
     rows = sorted(
-        ((spent, calls, name) for name, (_, calls, spent, _, _) in stats.items()), reverse=True
+        ((own_s, calls, name) for name, (_, calls, own_s, _, _) in stats.items()), reverse=True
     )
     print(f"calls a statement {sum(row[1] for row in rows) / requests:.1f}")
-    for spent, calls, (file, _, name) in rows[:lines]:
+    for own_s, calls, (file, _, name) in rows[:function_count]:
         short = file.rpartition("umberusher/")[2] if "umberusher/" in file else Path(file).name
-        print(f"{calls / requests:7.2f} calls {spent / requests * 1e6:7.2f} us  {short}:{name}")
+        print(f"{calls / requests:7.2f} calls {own_s / requests * 1e6:7.2f} us  {short}:{name}")
 
 
-def kept(
+def measurement_document(
     name: str, what: str, by: str, unit: str, root: str, points: list[dict[str, Any]], rounds: int
 ) -> dict[str, Any]:
-    """A measurement as it is kept under ``measurements/``."""
+    """Build a measurement in the format of the files under ``measurements/``."""
 
     def git(*words: str) -> str:
         return subprocess.run(
@@ -445,7 +478,7 @@
         "",
     )
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 1e9
-    found = {
+    document = {
         "v": 1,
         "name": name,
         "role": "client connection" if name == "idle-connection" else "broker",
@@ -469,34 +502,34 @@
     }
     if len(points) > 1:
         fit = fit_line([(each["x"], statistics.median(each["values"])) for each in points])
-        found["fit"] = {
+        document["fit"] = {
             "base": fit.base,
             "slope": fit.slope,
             "residuals": fit.residuals,
             "linear_to": fit.linear_to,
         }
-    return found
+    return document
 
 
-def turn_about(
-    args: argparse.Namespace, play_one: Callable[[str, list[str]], dict[str, float]]
+def measure_alternately(
+    args: argparse.Namespace, measure: Callable[[str, list[str]], dict[str, float]]
 ) -> dict[str, list[dict[str, float]]]:
-    """Both versions, one after the other in each round, the first one changing places."""
-    found: dict[str, list[dict[str, float]]] = {"before": [], "now": []}
+    """Measure both versions in each round and swap their order from round to round."""
+    results: dict[str, list[dict[str, float]]] = {"before": [], "now": []}
     for number in range(args.rounds):
         order = [("before", args.before, []), ("now", str(ROOT), shlex.split(args.more))]
-        for name, root, more in order if number % 2 == 0 else reversed(order):
-            found[name].append(play_one(root, more))
+        for name, root, serve_options in order if number % 2 == 0 else reversed(order):
+            results[name].append(measure(root, serve_options))
             print(
-                name, {key: round(value, 3) for key, value in found[name][-1].items()}, flush=True
+                name, {key: round(value, 3) for key, value in results[name][-1].items()}, flush=True
             )
-    return found
+    return results
 
 
-def compare(found: dict[str, list[dict[str, float]]], keys: tuple[str, ...]) -> None:
-    """The medians with their spread, and the ratio in each round."""
+def print_comparison(results: dict[str, list[dict[str, float]]], keys: tuple[str, ...]) -> None:
+    """Print the medians with their ranges, and the ratio of the versions over the rounds."""
     for key in keys:
-        before, now = ([each[key] for each in found[name]] for name in ("before", "now"))
+        before, now = ([each[key] for each in results[name]] for name in ("before", "now"))
         ratios = sorted(b / a for a, b in zip(before, now, strict=True))
         print(
             f"{key}: before {statistics.median(before):.3f} ({min(before):.3f} to {max(before):.3f}), now "
@@ -505,7 +538,7 @@
         )
 
 
-def keep(
+def write_measurements(
     args: argparse.Namespace,
     name: str,
     what: str,
@@ -513,7 +546,7 @@
     unit: str,
     points: dict[str, list[dict]],
 ) -> None:
-    """Write what was measured, each version to its file."""
+    """Write the measurements of each version to its file."""
     for version, root, path in (
         ("before", args.before, args.json_before),
         ("now", str(ROOT), args.json),
@@ -521,7 +554,10 @@
         if path:
             Path(path).parent.mkdir(exist_ok=True)
             Path(path).write_text(
-                json.dumps(kept(name, what, by, unit, root, points[version], args.rounds), indent=1)
+                json.dumps(
+                    measurement_document(name, what, by, unit, root, points[version], args.rounds),
+                    indent=1,
+                )
                 + "\n"
             )
 
@@ -533,44 +569,54 @@
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--requests", type=int, default=6_000)
     parser.add_argument("--rate", type=float, default=250.0)
-    parser.add_argument("--engines", type=int, default=6, help="stand-in nodes behind the list (6)")
     parser.add_argument(
-        "--brokers", type=int, default=1, help="as many as a broker is told that they are (1)"
+        "--engines", type=int, default=6, help="stand-in engines in the endpoint list (6)"
     )
-    parser.add_argument("--more", default="", help="options of serve for this version")
     parser.add_argument(
-        "--closed", action="store_true", help="a closed loop before instant stand-ins"
+        "--brokers", type=int, default=1, help="number of brokers in the broker's settings (1)"
+    )
+    parser.add_argument("--more", default="", help="extra options of serve for this version")
+    parser.add_argument(
+        "--closed", action="store_true", help="closed loop in front of engines that answer at once"
     )
     parser.add_argument("--clients", type=int, nargs="+", default=[16])
     parser.add_argument("--idle", action="store_true", help="memory of idle connections")
     parser.add_argument(
         "--connections", type=int, nargs="+", default=[250, 500, 1_000, 2_000, 4_000, 8_000]
     )
-    parser.add_argument("--profile", type=int, nargs="?", const=60, help="functions to tell of")
-    parser.add_argument("--json", default="", help="where this version's figures are kept")
-    parser.add_argument("--json-before", default="", help="where the other version's are kept")
+    parser.add_argument(
+        "--profile", type=int, nargs="?", const=60, help="number of functions to print"
+    )
+    parser.add_argument("--json", default="", help="output file for this version's measurements")
+    parser.add_argument(
+        "--json-before", default="", help="output file for the other version's measurements"
+    )
     args = parser.parse_args()
     if args.profile:
-        profiled(args.before, args.requests, args.clients[0], args.profile)
+        print_profile(args.before, args.requests, args.clients[0], args.profile)
         return 0
     points: dict[str, list[dict]] = {"before": [], "now": []}
     if args.closed or args.idle:
         key = "cpu_us" if args.closed else "bytes"
         for size in args.clients if args.closed else args.connections:
             print(f"-- {size}")
-            found = turn_about(
+            results = measure_alternately(
                 args,
-                lambda root, more, size=size: closed(root, more, args.requests, size)
+                lambda root, serve_options, size=size: measure_closed_loop(
+                    root, serve_options, args.requests, size
+                )
                 if args.closed
-                else idle(root, more, size),
+                else measure_idle_connections(root, serve_options, size),
             )
-            compare(found, ("cpu_us", "per_s", "core", "most_per_s") if args.closed else ("bytes",))
-            for version, rounds in found.items():
+            print_comparison(
+                results, ("cpu_us", "per_s", "core", "most_per_s") if args.closed else ("bytes",)
+            )
+            for version, rounds in results.items():
                 points[version].append(
                     {"x": size, "values": [round(each[key], 1) for each in rounds]}
                 )
         if args.closed:
-            keep(
+            write_measurements(
                 args,
                 "statement-cost",
                 "processor time of a broker for a statement, closed loop before six instant "
@@ -580,7 +626,7 @@
                 points,
             )
         else:
-            keep(
+            write_measurements(
                 args,
                 "idle-connection",
                 "memory of a broker's own for a quiet client connection",
@@ -589,11 +635,13 @@
                 points,
             )
         return 0
-    found = turn_about(
+    results = measure_alternately(
         args,
-        lambda root, more: play(root, more, args.requests, args.rate, args.engines, args.brokers),
+        lambda root, serve_options: measure_open_loop(
+            root, serve_options, args.requests, args.rate, args.engines, args.brokers
+        ),
     )
-    compare(found, ("cpu_us", "p50_ms", "p99_ms"))
+    print_comparison(results, ("cpu_us", "p50_ms", "p99_ms"))
     return 0
 
 
--- a/scripts/measure_size.py
+++ b/scripts/measure_size.py
@@ -1,10 +1,11 @@
-"""What a long list costs a broker: 64, 256 and 1,024 engines listed, each with a stand-in behind it, in one run.
+"""Measure what a long endpoint list costs a broker: 64, 256 and 1,024 engines, each with a stand-in, in one run.
 
     python scripts/measure_size.py [--sizes 64,256,1024] [--brokers 200] [--requests 6000] [--rate 250] [--rounds 3]
 
-One broker as a process of its own, told that it is one of so many; the same requests at the same rate for each size.
-Told are medians over the rounds: time till it says that it is good, memory of its own, descriptors at the end, its
-processor time a request, latency that clients saw, engines that have worked, and the cost against the first size.
+One broker runs as a separate process, with the given number of brokers in its settings; each size gets the same requests
+at the same rate. It prints medians over the rounds: time until the broker is ready, its private memory, its descriptors
+at the end, its processor time per request, client-side latency, engines that have served requests, and the processor time
+relative to that of the first size.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 import statistics
 import sys
 
-from measure_cost import ROOT, play
+from measure_cost import ROOT, measure_open_loop
 
 
 def main() -> int:
-    """Print a row a size."""
+    """Print one row for each size."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--sizes", default="64,256,1024")
     parser.add_argument("--brokers", type=int, default=200)
@@ -27,20 +28,23 @@
     parser.add_argument("--root", default=str(ROOT), help="root of another version")
     args = parser.parse_args()
     sizes = [int(size) for size in args.sizes.split(",")]
-    found: dict[int, list[dict[str, float]]] = {size: [] for size in sizes}
+    results: dict[int, list[dict[str, float]]] = {size: [] for size in sizes}
     for _ in range(args.rounds):
         for size in sizes:
-            found[size].append(play(args.root, [], args.requests, args.rate, size, args.brokers))
-    first = 0.0
+            results[size].append(
+                measure_open_loop(args.root, [], args.requests, args.rate, size, args.brokers)
+            )
+    first_cpu_us = 0.0
     for size in sizes:
         row = {
-            name: statistics.median(each[name] for each in found[size]) for name in found[size][0]
+            name: statistics.median(each[name] for each in results[size])
+            for name in results[size][0]
         }
-        first = first or row["cpu_us"]
+        first_cpu_us = first_cpu_us or row["cpu_us"]
         print(
             f"{size} engines:",
             {name: round(value, 3) for name, value in row.items()},
-            f"cost {row['cpu_us'] / first:.2f} of that with {sizes[0]}",
+            f"cost {row['cpu_us'] / first_cpu_us:.2f} of that with {sizes[0]}",
             flush=True,
         )
     return 0
