--- a/scripts/slopes_clients.py
+++ b/scripts/slopes_clients.py
@@ -1,9 +1,9 @@
-"""Clients of one broker, for measurements: statements at a rate, or as fast as they are answered.
+"""Clients of one broker, for measurements: statements at a fixed rate, or in a closed loop.
 
     python scripts/slopes_clients.py PORT CONNECTIONS RATE SECONDS
 
-RATE 0: each connection has DEEP calls open all the time. Owns its connections and its counts; prints one line of JSON
-at the end. Of an answer it reads only whether it was served.
+With RATE 0 each connection always has CALLS_PER_CONNECTION open calls. Prints its counts as one line of JSON at the
+end. Of an answer it reads only whether the call was served.
 """
 
 from __future__ import annotations
@@ -21,15 +21,14 @@
 from umberusher.standin.statements import encode_statement
 from umberusher.standin.thrift_client import encode_execute
 
-DEEP = 4  # open calls of a connection in the closed loop
-SERVED_AT = (
-    4 + 4 + 4 + len("execute") + 4
-)  # the reply's first field: a type and a number, 0 where it was served
-DRAIN_S = 1.0  # for what is open at the end
+CALLS_PER_CONNECTION = 4  # open calls per connection in the closed loop
+# Offset of the reply's first field: its type and its id, which is 0 for a served call.
+RESULT_FIELD_OFFSET = 4 + 4 + 4 + len("execute") + 4
+DRAIN_S = 1.0  # wait for open calls at the end
 
 
-def call(number: int) -> bytes:
-    """A small statement."""
+def encode_call(number: int) -> bytes:
+    """Encode a call with a small statement."""
     fields = {
         "method": "lookup",
         "est": "2.0",
@@ -45,58 +44,62 @@
 
 
 def main() -> None:
-    """Ask and count."""
+    """Send calls, count the answers and print the counts."""
     port, count, rate, seconds = (
         int(sys.argv[1]),
         int(sys.argv[2]),
         float(sys.argv[3]),
         float(sys.argv[4]),
     )
-    epoll, conns, unread, order = select.epoll(), {}, {}, []
-    served = other = asked = 0
+    epoll, conns, unread, socks = select.epoll(), {}, {}, []
+    served = other = sent = 0
     for _ in range(count):
         sock = socket.create_connection(("127.0.0.1", port))
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setblocking(False)
         conns[sock.fileno()], unread[sock.fileno()] = sock, b""
-        order.append(sock)
+        socks.append(sock)
         epoll.register(sock, select.EPOLLIN)
 
-    def ask(sock: socket.socket) -> None:
-        nonlocal asked
-        asked += 1
-        sock.send(call(asked))
+    def send_call(sock: socket.socket) -> None:
+        nonlocal sent
+        sent += 1
+        sock.send(encode_call(sent))
 
-    begun = time.monotonic()
+    started_s = time.monotonic()
     if not rate:
-        for sock in order * DEEP:
-            ask(sock)
+        for sock in socks * CALLS_PER_CONNECTION:
+            send_call(sock)
     while True:
-        now = time.monotonic() - begun
-        while rate and now < seconds and asked < now * rate:
-            ask(order[asked % count])
-        if now > seconds + DRAIN_S or (now > seconds and served + other >= asked):
+        elapsed_s = time.monotonic() - started_s
+        while rate and elapsed_s < seconds and sent < elapsed_s * rate:
+            send_call(socks[sent % count])
+        if elapsed_s > seconds + DRAIN_S or (elapsed_s > seconds and served + other >= sent):
             break
-        if now <= seconds:
-            done_at, done = now, served
-        for fd, _ in epoll.poll(min(max((asked + 1) / rate - now, 0.0), 0.05) if rate else 0.05):
+        if elapsed_s <= seconds:
+            last_read_s, served_in_time = elapsed_s, served
+        for fd, _ in epoll.poll(
+            min(max((sent + 1) / rate - elapsed_s, 0.0), 0.05) if rate else 0.05
+        ):
             data = unread[fd] + conns[fd].recv(1 << 16)
             if not data:
-                raise SystemExit("the broker has closed a connection")
+                raise SystemExit("the broker closed a client connection")
             while len(data) >= 4 and len(data) >= (size := 4 + struct.unpack_from(">i", data)[0]):
-                good = struct.unpack_from(">h", data, SERVED_AT + 1)[0] == 0 and data[7] == 2
-                served, other = served + good, other + (not good)
+                is_served = (
+                    struct.unpack_from(">h", data, RESULT_FIELD_OFFSET + 1)[0] == 0 and data[7] == 2
+                )
+                served, other = served + is_served, other + (not is_served)
                 data = data[size:]
-                if not rate and time.monotonic() - begun < seconds:
-                    ask(conns[fd])
+                if not rate and time.monotonic() - started_s < seconds:
+                    send_call(conns[fd])
             unread[fd] = data
     print(
         json.dumps(
             {
-                "asked": asked,
+                "asked": sent,
                 "served": served,
                 "other": other,
-                "per_s": done / done_at,
+                "per_s": served_in_time / last_read_s,
                 "cpu_s": time.process_time(),
             }
         ),
--- a/scripts/slopes_engines.py
+++ b/scripts/slopes_engines.py
@@ -1,9 +1,9 @@
-"""Stand-in engines that answer as they read, for measurements. Standard library only.
+"""Stand-in engines that answer each command at once, for measurements. Standard library only.
 
     python scripts/slopes_engines.py COUNT
 
-Owns its listeners, its connections and their counts. The first line it prints is its ports; a line on its input is
-answered by one line of JSON with its counts; the input's end is its end.
+The first line of output is the list of its ports. Each line of input is answered by one line of JSON with the counts of
+all engines. The process exits at the end of its input.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 import time
 
 
-class Conn:
-    """One connection of the broker's."""
+class Connection:
+    """A connection from the broker."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.data = sock, b""
+        self.sock, self.unread = sock, b""
 
 
 def main() -> None:
-    """Answer until the input ends."""
+    """Answer commands until the input ends."""
     epoll = select.epoll()
     epoll.register(0, select.EPOLLIN)
     listeners, conns = {}, {}
-    told = {
+    counts = {
         "statements": 0,
         "probes": 0,
         "messages": 0,
@@ -43,27 +43,27 @@
         epoll.register(sock, select.EPOLLIN)
     print(json.dumps([sock.getsockname()[1] for sock in listeners.values()]), flush=True)
 
-    def answered(data: bytes) -> tuple[bytes, bytes]:
-        """The answers to whole commands, and the rest."""
-        out = []
+    def answers_and_remainder(data: bytes) -> tuple[bytes, bytes]:
+        """Return the answers to the complete commands, and the bytes after them."""
+        answers = []
         while (end := data.find(b"\r\n")) >= 0:
             words = data[:end].split(b" ")
-            told["messages"] += 1
+            counts["messages"] += 1
             if words[0] == b"REQ":
                 size = end + 2 + int(words[3]) + 2
                 if len(data) < size:
-                    told["messages"] -= 1
+                    counts["messages"] -= 1
                     break
-                told["statements"] += 1
+                counts["statements"] += 1
                 row = words[1] + b"\t0\tdone\n"
-                out.append(b"%b HIT count=1 %d\r\n%b\r\n" % (words[1], len(row), row))
+                answers.append(b"%b HIT count=1 %d\r\n%b\r\n" % (words[1], len(row), row))
                 data = data[size:]
                 continue
             if words[0] in (b"STAT", b"HELO"):
-                told["probes"] += words[0] == b"STAT"
-                out.append(words[1] + b" PONG rep=inflight:1;queue:0;x0:0.010\r\n")
+                counts["probes"] += words[0] == b"STAT"
+                answers.append(words[1] + b" PONG rep=inflight:1;queue:0;x0:0.010\r\n")
             data = data[end + 2 :]
-        return b"".join(out), data
+        return b"".join(answers), data
 
     while True:
         for fd, _ in epoll.poll(1.0):
@@ -71,7 +71,7 @@
                 if not sys.stdin.buffer.readline():
                     return
                 print(
-                    json.dumps(told | {"connections": len(conns), "cpu_s": time.process_time()}),
+                    json.dumps(counts | {"connections": len(conns), "cpu_s": time.process_time()}),
                     flush=True,
                 )
             elif fd in listeners:
@@ -80,9 +80,9 @@
                         sock, _ = listeners[fd].accept()
                         sock.setblocking(False)
                         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                        conns[sock.fileno()] = Conn(sock)
+                        conns[sock.fileno()] = Connection(sock)
                         epoll.register(sock.fileno(), select.EPOLLIN)
-                        told["accepted"] += 1
+                        counts["accepted"] += 1
             elif fd in conns:
                 conn = conns[fd]
                 try:
@@ -93,10 +93,10 @@
                     epoll.unregister(fd)
                     conns.pop(fd).sock.close()
                     continue
-                told["bytes_in"] += len(data)
-                answers, conn.data = answered(conn.data + data)
+                counts["bytes_in"] += len(data)
+                answers, conn.unread = answers_and_remainder(conn.unread + data)
                 if answers:
-                    told["bytes_out"] += len(answers)
+                    counts["bytes_out"] += len(answers)
                     conn.sock.send(answers)
 
 
--- a/scripts/slopes_followers.py
+++ b/scripts/slopes_followers.py
@@ -1,9 +1,10 @@
-"""Brokers as discovery sees them, for measurements: connections that poll and read. Standard library only.
+"""Stand-in brokers that poll discovery, for measurements. Standard library only.
 
     python scripts/slopes_followers.py PORT COUNT
 
-Owns its connections. A line of JSON on its input is answered by one line with its counts; the input's end is its end.
-The first line it prints says that each connection has read the whole list and waits. It parses no list.
+Each stand-in is one connection that polls and reads the answers without parsing the list. The first line of output says
+that each connection has read the whole list and is polling again. Each line of input is answered by one line of JSON with
+the counts. The process exits at the end of its input.
 """
 
 from __future__ import annotations
@@ -15,52 +16,54 @@
 import sys
 import time
 
-LINGER_MS = 2_000  # as the brokers ask
-LENGTH = re.compile(rb"Content-Length: (\d+)")
-REV = re.compile(rb'\{"rev": (\d+)')
+LINGER_MS = 2_000  # the value that brokers send
+CONTENT_LENGTH = re.compile(rb"Content-Length: (\d+)")
+REVISION = re.compile(rb'\{"rev": (\d+)')
 
 
 class Follower:
-    """One broker's connection."""
+    """The connection of one stand-in broker."""
 
     def __init__(self, port: int) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port))
         self.sock.setblocking(False)
-        self.head, self.left, self.rev, self.answers = b"", 0, 0, 0
-        self.ask()
+        self.unparsed, self.remaining_bytes, self.rev, self.answers = b"", 0, 0, 0
+        self.poll()
 
-    def ask(self) -> None:
-        """Poll."""
+    def poll(self) -> None:
+        """Send a poll."""
         self.sock.send(
             b"GET /board/poll?watch=%d&linger=%d HTTP/1.1\r\nHost: 127.0.0.1\r\nAccept: application/json"
             b"\r\n\r\n" % (self.rev, LINGER_MS)
         )
 
     def read(self) -> int:
-        """Read what is there; how many bytes."""
+        """Read available bytes, poll again after a complete answer, and return the number of bytes."""
         data = self.sock.recv(1 << 18)
         if not data:
-            raise SystemExit("discovery has closed a connection")
-        if self.left:
-            self.left -= len(data)
+            raise SystemExit("discovery closed a connection")
+        if self.remaining_bytes:
+            self.remaining_bytes -= len(data)
         else:
-            self.head += data
-            at = self.head.find(b"\r\n\r\n")
-            rev = REV.match(self.head, at + 4)
-            if at < 0 or rev is None:
+            self.unparsed += data
+            header_end = self.unparsed.find(b"\r\n\r\n")
+            rev = REVISION.match(self.unparsed, header_end + 4)
+            if header_end < 0 or rev is None:
                 return len(data)
-            self.left = int(LENGTH.search(self.head)[1]) - (len(self.head) - at - 4)
-            self.rev, self.head = int(rev[1]), b""
-        if not self.left:
+            self.remaining_bytes = int(CONTENT_LENGTH.search(self.unparsed)[1]) - (
+                len(self.unparsed) - header_end - 4
+            )
+            self.rev, self.unparsed = int(rev[1]), b""
+        if not self.remaining_bytes:
             self.answers += 1
-            self.ask()
+            self.poll()
         return len(data)
 
 
 def main() -> None:
-    """Follow until the input ends."""
+    """Poll discovery until the input ends."""
     port, count = int(sys.argv[1]), int(sys.argv[2])
-    epoll, followers, read, ready = select.epoll(), {}, 0, False
+    epoll, followers, bytes_read, ready = select.epoll(), {}, 0, False
     epoll.register(0, select.EPOLLIN)
     for _ in range(count):
         follower = Follower(port)
@@ -69,14 +72,19 @@
     while True:
         for fd, _ in epoll.poll(1.0):
             if fd in followers:
-                read += followers[fd].read()
+                bytes_read += followers[fd].read()
             elif not sys.stdin.buffer.readline():
                 return
             else:
                 revs = [each.rev for each in followers.values()]
                 print(
                     json.dumps(
-                        {"least": min(revs), "most": max(revs), "bytes": read, "at": time.time()}
+                        {
+                            "least": min(revs),
+                            "most": max(revs),
+                            "bytes": bytes_read,
+                            "at": time.time(),
+                        }
                     ),
                     flush=True,
                 )
--- a/scripts/slopes_worker.py
+++ b/scripts/slopes_worker.py
@@ -1,11 +1,11 @@
-"""What is measured inside one process, of the version that PYTHONPATH names; prints one JSON object.
+"""Measure inside one process the version that PYTHONPATH names; print one JSON object.
 
     PYTHONPATH=ROOT python scripts/slopes_worker.py list LENGTH       # a broker's list and decisions, wired as in serve
-    PYTHONPATH=ROOT python scripts/slopes_worker.py lump LENGTH       # the same, changes told in lumps
-    PYTHONPATH=ROOT python scripts/slopes_worker.py module TOLD       # the decision module alone
+    PYTHONPATH=ROOT python scripts/slopes_worker.py lump LENGTH       # the same, with changes of many entries
+    PYTHONPATH=ROOT python scripts/slopes_worker.py module TOLD       # the decision module alone, with TOLD engines
 
-Time is a clock of the worker's own that stands still while anything is done; what is told is time.process_time. Owns
-the stand-ins of what carries actions out: an attempt is answered 5 ms after it is sent, as is a probe.
+The measured code runs on a simulated clock that stands still during each call; the results are time.process_time.
+Stand-ins replace the handlers of actions: an attempt is answered 5 ms after it is sent, as is a health check.
 """
 
 from __future__ import annotations
@@ -48,58 +48,60 @@
 from umberusher.protocol.discovery import WatchEvent, watch_events
 from umberusher.replay import site
 
-ANSWER_MS = 5.0  # an attempt's time
-APART_MS = ANSWER_MS / 8  # of a broker's arrivals: eight are out at a time
-BUSY_MS = 0.16  # of the module's: a broker's share of 13 million a second over 2,100
-FLEET = 2_100
-LONGEST_S = 4.0  # processor time of one figure, at the most
-LUMPS = (100, 400, 1_000, 2_000, 4_000)
+ATTEMPT_MS = 5.0  # duration of an attempt
+BROKER_ARRIVAL_INTERVAL_MS = ATTEMPT_MS / 8  # keeps eight requests of a broker in flight
+MODULE_ARRIVAL_INTERVAL_MS = (
+    0.16  # a broker's share of 13 million requests per second over 2,100 brokers
+)
+BROKER_COUNT = 2_100
+MAX_CPU_S = 4.0  # limit of processor time for one result
+BATCH_SIZES = (100, 400, 1_000, 2_000, 4_000)
 
 
-def settings() -> dict[str, Any]:
-    """A site's settings at the size to plan with."""
-    found = site.settings(FLEET, 7)
-    return found | {"zones": list(ZONES), "zone": ZONES[7 % len(ZONES)]}
+def site_settings() -> dict[str, Any]:
+    """Return the settings of a site at the planned size."""
+    values = site.settings(BROKER_COUNT, 7)
+    return values | {"zones": list(ZONES), "zone": ZONES[7 % len(ZONES)]}
 
 
-class Time:
-    """The worker's clock, in seconds, and what is planned on it."""
+class SimulatedClock:
+    """A clock in seconds that moves only in advance_to, and the calls scheduled on it."""
 
     def __init__(self) -> None:
-        self.now, self.planned, self.count = 1_000_000.0, [], itertools.count()
+        self.now, self.scheduled, self.count = 1_000_000.0, [], itertools.count()
 
     def clock(self) -> float:
-        """Now."""
+        """Return the current time."""
         return self.now
 
-    def later(self, delay_ms: float, call: Callable[[], None]) -> None:
-        """Plan a call."""
-        heapq.heappush(self.planned, (self.now + delay_ms / 1e3, next(self.count), call))
+    def call_later(self, delay_ms: float, call: Callable[[], None]) -> None:
+        """Schedule a call."""
+        heapq.heappush(self.scheduled, (self.now + delay_ms / 1e3, next(self.count), call))
 
-    def go(self, until: float) -> None:
-        """Let time pass and what is planned for it happen."""
-        while self.planned and self.planned[0][0] <= until:
-            self.now, _, call = heapq.heappop(self.planned)
+    def advance_to(self, until_s: float) -> None:
+        """Advance the clock and run the calls that become due."""
+        while self.scheduled and self.scheduled[0][0] <= until_s:
+            self.now, _, call = heapq.heappop(self.scheduled)
             call()
-        self.now = until
+        self.now = until_s
 
 
-class Carrier:
-    """Carries actions out as instantly well engines would."""
+class StandInHandlers:
+    """Handlers of actions that behave like healthy engines with a fixed response time."""
 
-    def __init__(self, times: Time, post: Callable[[Any], None]) -> None:
-        self.times, self.post = times, post
-        self.served = self.sends = self.probes = self.refused = 0
+    def __init__(self, clock: SimulatedClock, post: Callable[[Any], None]) -> None:
+        self.clock, self.post = clock, post
+        self.served = self.sends = self.probes = self.rejected = 0
         self.attempts: dict[str, int] = {}
 
     def send(self, action: Any) -> None:
-        """An attempt: answered after its time."""
+        """Report the success of an attempt after ATTEMPT_MS."""
         self.sends += 1
-        number = self.attempts.get(action.request, 0)  # counted from 0, as the module counts
+        number = self.attempts.get(action.request, 0)  # counted from 0, as in the decision module
         self.attempts[action.request] = number + 1
         report = LoadReport(in_flight=2.0, queued=0.0, memory_share=0.1)
 
-        def answered() -> None:
+        def report_success() -> None:
             self.served += 1
             self.attempts.pop(action.request, None)
             self.post(
@@ -108,156 +110,166 @@
                     number,
                     action.engine,
                     AttemptOutcome.SUCCEEDED,
-                    ANSWER_MS,
+                    ATTEMPT_MS,
                     request_closed=True,
                     report=report,
                 )
             )
 
-        self.times.later(ANSWER_MS, answered)
+        self.clock.call_later(ATTEMPT_MS, report_success)
 
     def probe(self, action: Any) -> None:
-        """A probe: the same."""
+        """Report the success of a health check after ATTEMPT_MS."""
         self.probes += 1
         report = LoadReport(in_flight=2.0, queued=0.0, memory_share=0.1)
-        self.times.later(
-            ANSWER_MS,
+        self.clock.call_later(
+            ATTEMPT_MS,
             lambda: self.post(
-                HealthCheckEnded(action.engine, AttemptOutcome.SUCCEEDED, ANSWER_MS, report)
+                HealthCheckEnded(action.engine, AttemptOutcome.SUCCEEDED, ATTEMPT_MS, report)
             ),
         )
 
     def timer(self, action: Any) -> None:
-        """A timer."""
-        self.times.later(action.delay_ms, lambda: self.post(TimerFired(action.token)))
+        """Schedule a timer event."""
+        self.clock.call_later(action.delay_ms, lambda: self.post(TimerFired(action.token)))
 
-    def end(self, _: Any) -> None:
-        """A request that was refused or failed."""
-        self.refused += 1
+    def count_rejection(self, _: Any) -> None:
+        """Count a request that was rejected or failed."""
+        self.rejected += 1
 
-    def carry(self) -> dict[type, Callable[[Any], None]]:
-        """By action; what isn't named has no effect."""
+    def handlers(self) -> dict[type, Callable[[Any], None]]:
+        """Return the handlers by type of action; priorities and cancellations have no effect."""
         return {
             StartAttempt: self.send,
             CheckHealth: self.probe,
             SetTimer: self.timer,
-            RejectRequest: self.end,
-            FailRequest: self.end,
+            RejectRequest: self.count_rejection,
+            FailRequest: self.count_rejection,
             SetPriority: lambda _: None,
             CancelAttempt: lambda _: None,
         }
 
 
 def arrival(number: int, now_ms: float) -> RequestArrived:
-    """A small statement; some are reports."""
+    """Return the arrival of a small statement; one in 20 is a report."""
     name = "report" if number % 20 == 0 else "lookup"
     return RequestArrived(f"{number:016x}", name, now_ms + 2_000.0, work_ms=4.0, memory_mb=8.0)
 
 
-def arrivals(
-    times: Time,
+def measure_arrivals(
+    clock: SimulatedClock,
     post: Callable[[Any], None],
-    carrier: Carrier,
-    apart_ms: float,
-    warm: int,
-    most: int,
+    stand_ins: StandInHandlers,
+    interval_ms: float,
+    warm_up_count: int,
+    max_count: int,
 ) -> float:
-    """Processor time of an arrival with its answer, in us; ends early where it takes too long."""
-    first, begun, number = 0.0, time.process_time(), 0
-    for number in range(warm + most):
-        if number == warm or (
-            number < warm and time.process_time() - begun > LONGEST_S and not first
+    """Return the processor time of an arrival with its answer in us; ends early after MAX_CPU_S."""
+    measured_from_s, started_s, number = 0.0, time.process_time(), 0
+    for number in range(warm_up_count + max_count):
+        if number == warm_up_count or (
+            number < warm_up_count
+            and time.process_time() - started_s > MAX_CPU_S
+            and not measured_from_s
+        ):
+            measured_from_s, warm_up_count = time.process_time(), number
+        if (
+            measured_from_s
+            and number > warm_up_count
+            and time.process_time() - measured_from_s > MAX_CPU_S
         ):
-            first, warm = time.process_time(), number
-        if first and number > warm and time.process_time() - first > LONGEST_S:
             break
-        times.go(times.now + apart_ms / 1e3)
-        post(arrival(number, times.now * 1e3))
-    spent = time.process_time() - first
-    if carrier.served < 0.9 * number - ANSWER_MS / apart_ms:
+        clock.advance_to(clock.now + interval_ms / 1e3)
+        post(arrival(number, clock.now * 1e3))
+    cpu_used_s = time.process_time() - measured_from_s
+    if stand_ins.served < 0.9 * number - ATTEMPT_MS / interval_ms:
         raise SystemExit(
-            f"{carrier.served} of {number} were served: the play is no measure of an arrival"
+            f"{stand_ins.served} of {number} requests were served, too few to measure an arrival"
         )
-    return spent / (number - warm) * 1e6
+    return cpu_used_s / (number - warm_up_count) * 1e6
 
 
-def broker(times: Time) -> tuple[Broker, Carrier]:
-    """A broker wired as `serve` wires it, with no socket open."""
-    raw = {
+def build_broker(clock: SimulatedClock) -> tuple[Broker, StandInHandlers]:
+    """Build a broker wired as in `serve`, with no socket open."""
+    config = {
         "name": "b0",
         "listen": "127.0.0.1:1",
         "seed": "0000000000000001",
         "board": "127.0.0.1:1",
         "known": {"rev": 0, "notices": []},
         "limits": {"cores": 1.0, "memory_mb": 1_024, "sockets": 20_000},
-        "settings": settings(),
+        "settings": site_settings(),
     }
-    made = Broker(parse(raw), Loop(times.clock), times.clock)
-    carrier = Carrier(times, made.post)
-    made.action_handlers = carrier.carry()
-    made.post(Started())
-    return made, carrier
+    broker = Broker(parse(config), Loop(clock.clock), clock.clock)
+    stand_ins = StandInHandlers(clock, broker.post)
+    broker.action_handlers = stand_ins.handlers()
+    broker.post(Started())
+    return broker, stand_ins
 
 
-def told(rev: int, entries: list[dict[str, Any]], whole: bool) -> WatchEvent:
-    """Entries as the notice that a broker reads from discovery's answer."""
-    found = watch_events(
-        {"notices": [{"rev": rev, "pool": {"reset": whole, "instances": entries}}]}, 0
+def watch_event(rev: int, entries: list[dict[str, Any]], reset: bool) -> WatchEvent:
+    """Return entries as the watch event that a broker reads from discovery's answer."""
+    events = watch_events(
+        {"notices": [{"rev": rev, "pool": {"reset": reset, "instances": entries}}]}, 0
     )
-    if found[0].skipped:
-        raise SystemExit(f"the list could not be read: {found}")
-    return found[0]
+    if events[0].skipped:
+        raise SystemExit(f"entries of the list were skipped as unreadable: {events}")
+    return events[0]
 
 
-def spent_s(call: Callable[[], None]) -> float:
-    """Processor time of a call."""
-    begun = time.process_time()
+def cpu_seconds(call: Callable[[], None]) -> float:
+    """Return the processor time of a call in seconds."""
+    started_s = time.process_time()
     call()
-    return time.process_time() - begun
-
-
-def listed(length: int) -> dict[str, Any]:
-    """First list, a change of one entry, and an arrival, by length of list."""
-    times, changes = Time(), Changes(length)
-    made, carrier = broker(times)
-    notice = told(1, changes.whole(), True)
-    first_s = spent_s(lambda: made.endpoints.apply(notice))
-    done, change_s, most = 0, 0.0, 600
-    while done < most and change_s < LONGEST_S:
-        notice = told(done + 2, changes.next(1), False)
-        times.go(times.now + 0.05)
-        change_s += spent_s(lambda notice=notice: made.endpoints.apply(notice))
-        done += 1
-    if len(made.endpoints.directory) not in (length, length - 1):
-        raise SystemExit(f"{len(made.endpoints.directory)} of {length} are listed")
-    cost_us = arrivals(times, made.post, carrier, APART_MS, 400, 4_000)
+    return time.process_time() - started_s
+
+
+def measure_list(length: int) -> dict[str, Any]:
+    """Measure the first list, a change of one entry, and an arrival with a list of that length."""
+    clock, changes = SimulatedClock(), Changes(length)
+    broker, stand_ins = build_broker(clock)
+    notice = watch_event(1, changes.full_list(), True)
+    first_s = cpu_seconds(lambda: broker.endpoints.apply(notice))
+    change_count, change_s, max_changes = 0, 0.0, 600
+    while change_count < max_changes and change_s < MAX_CPU_S:
+        notice = watch_event(change_count + 2, changes.next(1), False)
+        clock.advance_to(clock.now + 0.05)
+        change_s += cpu_seconds(lambda notice=notice: broker.endpoints.apply(notice))
+        change_count += 1
+    if len(broker.endpoints.directory) not in (length, length - 1):
+        raise SystemExit(f"{len(broker.endpoints.directory)} of {length} are listed")
+    cost_us = measure_arrivals(
+        clock, broker.post, stand_ins, BROKER_ARRIVAL_INTERVAL_MS, 400, 4_000
+    )
     return {
         "first_s": first_s,
-        "change_us": change_s / done * 1e6,
+        "change_us": change_s / change_count * 1e6,
         "arrival_us": cost_us,
-        "held": len(made.balancer.engines),
-        "sends": carrier.sends,
-        "probes": carrier.probes,
+        "held": len(broker.balancer.engines),
+        "sends": stand_ins.sends,
+        "probes": stand_ins.probes,
     }
 
 
-def lumps(length: int) -> dict[str, Any]:
-    """Changes told in lumps, by entries of a lump."""
-    times, changes = Time(), Changes(length)
-    made, _ = broker(times)
-    made.endpoints.apply(told(1, changes.whole(), True))
-    found = {}
-    for number, count in enumerate(LUMPS):
-        notice = told(number + 2, changes.next(count), False)
-        times.go(times.now + 1.0)
-        found[str(count)] = spent_s(lambda notice=notice: made.endpoints.apply(notice)) * 1e3
-    return {"lump_ms": found}
+def measure_batches(length: int) -> dict[str, Any]:
+    """Measure changes of many entries, by the number of entries."""
+    clock, changes = SimulatedClock(), Changes(length)
+    broker, _ = build_broker(clock)
+    broker.endpoints.apply(watch_event(1, changes.full_list(), True))
+    results = {}
+    for number, count in enumerate(BATCH_SIZES):
+        notice = watch_event(number + 2, changes.next(count), False)
+        clock.advance_to(clock.now + 1.0)
+        results[str(count)] = (
+            cpu_seconds(lambda notice=notice: broker.endpoints.apply(notice)) * 1e3
+        )
+    return {"lump_ms": results}
 
 
-def module(count: int) -> dict[str, Any]:
-    """The module alone, told of so many engines."""
-    times = Time()
-    gateway = LoadBalancer(read_settings(json.dumps(settings())), 1)
+def measure_module(count: int) -> dict[str, Any]:
+    """Measure the decision module alone with that many engines."""
+    clock = SimulatedClock()
+    balancer = LoadBalancer(read_settings(json.dumps(site_settings())), 1)
     queue: list[Any] = []
 
     def post(event: Any) -> None:
@@ -265,26 +277,30 @@
         if len(queue) > 1:
             return
         while queue:
-            for action in gateway.handle(times.now * 1e3, queue[0]):
-                carry[type(action)](action)
+            for action in balancer.handle(clock.now * 1e3, queue[0]):
+                handlers[type(action)](action)
             queue.pop(0)
 
-    carrier = Carrier(times, post)
-    carry = carrier.carry()
+    stand_ins = StandInHandlers(clock, post)
+    handlers = stand_ins.handlers()
     post(Started())
-    entries = told(1, [entry(number, 1, "SERVING") for number in range(count)], True).entries
+    entries = watch_event(1, [entry(number, 1, "SERVING") for number in range(count)], True).entries
     post(EndpointListUpdate(entries, complete=True))
-    cost_us = arrivals(times, post, carrier, BUSY_MS, 6_000, 12_000)
+    cost_us = measure_arrivals(clock, post, stand_ins, MODULE_ARRIVAL_INTERVAL_MS, 6_000, 12_000)
     return {
         "arrival_us": cost_us,
-        "near": len(gateway.pool.subset),
-        "probes": carrier.probes,
-        "served": carrier.served,
+        "near": len(balancer.pool.subset),
+        "probes": stand_ins.probes,
+        "served": stand_ins.served,
     }
 
 
 if __name__ == "__main__":
     logging.disable(logging.CRITICAL)
     print(
-        json.dumps({"list": listed, "lump": lumps, "module": module}[sys.argv[1]](int(sys.argv[2])))
+        json.dumps(
+            {"list": measure_list, "lump": measure_batches, "module": measure_module}[sys.argv[1]](
+                int(sys.argv[2])
+            )
+        )
     )
