--- a/scripts/measure_teams.py
+++ b/scripts/measure_teams.py
@@ -1,21 +1,23 @@
-"""One team's surge, with contracts and without: what the quiet teams get, beside what they get alone.
+"""Measure how the surge of one team affects the service of the others, with contracts and without.
 
     python scripts/measure_teams.py [--seeds 5] [--seconds 120] [--jobs 6] [--times 5 10] [--case surge lend retries]
 
-Three teams' plans, made up in the layout of a published trace, go through two real brokers to six stand-in nodes over
-sockets, on the step clock. The third team asks 5 or 10 times as often in the middle third of the run. Each seed is
-played with the contract, without it, and with each quiet team alone. The contract is made of the plans: each team is
-promised 1.7 times its own usual rate and the bursts it has (twice: two brokers share them), the surging one too: its
-surge is not in that.
+Plans of three teams, generated in the layout of a published trace, go through two real brokers to six stand-in engines
+over sockets, on the step clock. The third team sends 5 or 10 times as many requests in the middle third of the run. Each
+seed is replayed with the contract, without it, and with each of the other teams alone. The contract is derived from the
+plans: each team is promised 1.7 times its own usual rate and its own bursts (doubled, since two brokers share them). The
+same holds for the surging team: its promise doesn't include the surge.
 
-    surge      the quiet teams' service, in points, against alone: within 2 with contracts, and what it is without
-    lend       the first team is idle: requests served of the others (in time, and all) with contracts and without; in
-               the last third it comes back
-    retries    the surging team's clients try again and again, and nodes reset connections: of the further attempts that
-               a quiet team wanted, how many it was granted, alone and not
-    return     the same with the surge going on when the idle team comes back: what it asked in the first second of its
-               return, and what was served of that in time (``first``)
-    uneven     nobody surges, and the front sends more to one broker: what the contract refuses for that
+    surge      service of the teams without a surge, in points, compared with alone: the loss must be at most 2 points
+               with contracts; the loss without contracts is printed beside it
+    lend       the first team is idle until the last third: requests of the others that are served (in time, and all),
+               with contracts and without
+    retries    clients of the surging team retry repeatedly, and engines reset connections: how many retries of
+               another team are granted, of those it requested, alone and beside the surging team
+    return     as lend, but the surge lasts beyond the return of the idle team: its requests in the first second of its
+               return, and those of them served in time (``first``)
+    uneven     no team surges, and the front sends more requests to one broker: requests that the contract rejects
+               because of that
 """
 
 from __future__ import annotations
@@ -39,32 +41,33 @@
 from umberusher.traces.plan import Plan
 
 LAYOUT = "google-2011-task-events"
-RATES = {"water": 30.0, "roads": 22.0, "parks": 18.0}  # requests a second; parks surges
-THREADS, SLOTS, MEMORY = 100, 180, 160_000
+# Requests per second; parks has the surge.
+REQUEST_RATES = {"water": 30.0, "roads": 22.0, "parks": 18.0}
+THREADS, SLOTS, MEMORY_MB = 100, 180, 160_000
 
 
-def backlog(times_us: list[int], rate: float) -> float:
-    """The burst that a team needs to be within its rate: a quiet team is one that its promise covers."""
-    level = most = last = 0.0
+def required_burst(times_us: list[int], rate: float) -> float:
+    """Return the burst with which a promise of that rate covers all requests of a team without a surge."""
+    level = max_level = last_us = 0.0
     for at in times_us:
-        level = max(level - (at - last) / 1e6 * rate, 0.0) + 1.0
-        most, last = max(most, level), at
-    return most
+        level = max(level - (at - last_us) / 1e6 * rate, 0.0) + 1.0
+        max_level, last_us = max(max_level, level), at
+    return max_level
 
 
-def contract(plans: dict[str, Plan], lend: bool) -> str:
-    """A contract's text out of what teams usually ask."""
-    made = []
+def contract_text(plans: dict[str, Plan], lend: bool) -> str:
+    """Build the text of a contract from the usual plans of the teams."""
+    team_blocks = []
     for team, plan in plans.items():
         terms = []
         for index, name in enumerate(plan.classes):
-            work = [
+            work_ms = [
                 w
                 for w, c in zip(plan.columns["work_ms"], plan.columns["query_class"], strict=True)
                 if c == index
             ]
-            if work:
-                rate = max(1.7 * len(work) / plan.seconds, 0.2)
+            if work_ms:
+                rate = max(1.7 * len(work_ms) / plan.seconds, 0.2)
                 times = [
                     at
                     for at, c in zip(
@@ -72,31 +75,31 @@
                     )
                     if c == index
                 ]
-                burst = max(2.0 * backlog(times, rate), 10.0 * rate, 10.0)
+                burst = max(2.0 * required_burst(times, rate), 10.0 * rate, 10.0)
                 terms.append(
                     f'terms("{name}", rate = {rate:.3f}, burst = {burst:.1f}, '
-                    f"work_ms = {statistics.fmean(work):.1f})"
+                    f"work_ms = {statistics.fmean(work_ms):.1f})"
                 )
         overflow = "lend" if lend else "refuse"
-        made.append(
+        team_blocks.append(
             f'    team("{team}", share = 0.33, ration = 0.33, overflow = "{overflow}", terms = [\n        '
             + ",\n        ".join(terms)
             + "]),"
         )
     return (
-        f"capacity = fleet(threads = {THREADS}, slots = {SLOTS}, memory_mb = {MEMORY})\nteams = [\n"
-        + "\n".join(made)
+        f"capacity = fleet(threads = {THREADS}, slots = {SLOTS}, memory_mb = {MEMORY_MB})\nteams = [\n"
+        + "\n".join(team_blocks)
         + "\n]\n"
     )
 
 
-def made_plans(folder: str, seed: int, seconds: float) -> dict[str, Plan]:
-    """Each team's usual plan."""
-    found = {}
-    for number, (team, rate) in enumerate(RATES.items()):
-        raw, plan = f"{folder}/{seed}-{team}.csv", f"{folder}/{seed}-{team}.plan"
+def make_plans(folder: str, seed: int, seconds: float) -> dict[str, Plan]:
+    """Generate the usual plan of each team."""
+    plans = {}
+    for number, (team, rate) in enumerate(REQUEST_RATES.items()):
+        csv_path, plan_path = f"{folder}/{seed}-{team}.csv", f"{folder}/{seed}-{team}.plan"
         for command in (
-            ["make", "--seconds", str(seconds), "--seed", str(seed * 10 + number), "-o", raw],
+            ["make", "--seconds", str(seconds), "--seed", str(seed * 10 + number), "-o", csv_path],
             [
                 "plan",
                 "--layout",
@@ -108,8 +111,8 @@
                 "--seed",
                 str(seed * 10 + number),
                 "-o",
-                plan,
-                raw,
+                plan_path,
+                csv_path,
             ],
         ):
             subprocess.run(
@@ -119,52 +122,55 @@
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.DEVNULL,
             )
-        found[team] = Plan.load(plan)
-    return found
+        plans[team] = Plan.load(plan_path)
+    return plans
 
 
-def play(
+def replay_plans(
     plans: dict[str, Plan],
-    path: str | None,
+    contract_path: str | None,
     seed: int,
     retries: int = 1,
-    sick: bool = False,
-    uneven: float = 0.0,
+    with_resets: bool = False,
+    uneven_fraction: float = 0.0,
 ) -> dict:
-    """One replay: by team, what its clients got and what the brokers did."""
+    """Run one replay; return outcomes for clients and decisions of brokers by team."""
     merged = merge(plans)
-    whole = merged.plan
-    resets = range(5, int(whole.seconds), 4) if sick else ()
-    injected = [Fault(FaultKind.RESET, f"n-{n}", at) for at in resets for n in range(3)]
-    repeats: dict[str, list[int]] = {}
-    refused: dict[str, int] = {}
+    combined = merged.plan
+    resets = range(5, int(combined.seconds), 4) if with_resets else ()
+    injected_faults = [Fault(FaultKind.RESET, f"n-{n}", at) for at in resets for n in range(3)]
+    retries_by_team: dict[str, list[int]] = {}
+    rejected_by_team: dict[str, int] = {}
 
-    def count(broker):
+    def count_usage(broker):
         if broker.contracts:
             for team, use in broker.contracts.teams.usage.items():
-                granted, denied = repeats.get(team, [0, 0])
-                repeats[team] = [granted + sum(use.retries.values()), denied + use.retries_denied]
-                refused[team] = refused.get(team, 0) + sum(use.rejected.values())
+                granted, denied = retries_by_team.get(team, [0, 0])
+                retries_by_team[team] = [
+                    granted + sum(use.retries.values()),
+                    denied + use.retries_denied,
+                ]
+                rejected_by_team[team] = rejected_by_team.get(team, 0) + sum(use.rejected.values())
 
     replay = Replay(
-        whole,
+        combined,
         ReplayOptions(
             engine_count=6,
             seed=seed,
-            contract_path=path,
+            contract_path=contract_path,
             request_teams=merged.request_teams,
             max_client_retries=retries,
-            faults=injected,
-            uneven_fraction=uneven,
+            faults=injected_faults,
+            uneven_fraction=uneven_fraction,
         ),
-        on_broker_closing=count,
+        on_broker_closing=count_usage,
     )
     replay.play()
-    found = replay.document()
+    document = replay.document()
     return {
-        "breaches": found["breaches"],
-        "repeats": repeats,
-        "refused": refused,
+        "breaches": document["breaches"],
+        "repeats": retries_by_team,
+        "refused": rejected_by_team,
         "teams": {
             team: {
                 "service": each["service"],
@@ -185,38 +191,38 @@
                 ),
                 "by_second": each["by_second"]["served"],
             }
-            for team, each in found["teams"].items()
+            for team, each in document["teams"].items()
         },
     }
 
 
-def one(job: tuple) -> dict:
-    """A job of the pool."""
-    label, folder, seed, seconds, times, teams, path, extra = job
-    plans = {team: Plan.load(f"{folder}/{seed}-{team}.plan") for team in RATES}
+def run_job(job: tuple) -> dict:
+    """Run one job of the process pool."""
+    label, folder, seed, seconds, surge_factor, teams, contract_path, options = job
+    plans = {team: Plan.load(f"{folder}/{seed}-{team}.plan") for team in REQUEST_RATES}
     plans["parks"] = with_surge(
-        plans["parks"], times, seconds / 3, seconds * extra.get("until", 2 / 3)
+        plans["parks"], surge_factor, seconds / 3, seconds * options.get("until", 2 / 3)
     )
-    if extra.get("idle"):  # water sleeps until the last third
-        plans["water"] = only_after(plans["water"], seconds * 2 / 3)
-    return {"label": label, "seed": seed, "times": times} | play(
+    if options.get("idle"):  # water is idle until the last third
+        plans["water"] = requests_after(plans["water"], seconds * 2 / 3)
+    return {"label": label, "seed": seed, "times": surge_factor} | replay_plans(
         {team: plans[team] for team in teams},
-        path,
+        contract_path,
         seed,
-        extra.get("retries", 1),
-        extra.get("sick", False),
-        extra.get("uneven", 0.0),
+        options.get("retries", 1),
+        options.get("sick", False),
+        options.get("uneven", 0.0),
     )
 
 
-def only_after(plan: Plan, seconds: float) -> Plan:
-    """The plan without what comes before."""
-    whose = ["late" if at >= seconds * 1e6 else "early" for at in plan.columns["at_us"]]
-    return select_team(MergedPlan(plan, whose), "late")
+def requests_after(plan: Plan, seconds: float) -> Plan:
+    """Return the plan without the requests before that second."""
+    labels = ["late" if at >= seconds * 1e6 else "early" for at in plan.columns["at_us"]]
+    return select_team(MergedPlan(plan, labels), "late")
 
 
 def main() -> int:
-    """Print each run and the sums; 1 where a quiet team loses more than 2 points."""
+    """Print each run and the largest loss; return 1 if a team without a surge loses more than 2 points."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=120.0)
@@ -229,71 +235,88 @@
     folder = tempfile.mkdtemp(prefix="umberusher-teams-")
     jobs = []
     for seed in range(1, args.seeds + 1):
-        plans = made_plans(folder, seed, args.seconds)
-        for kind, lend in (("refuse", False), ("lend", True)):
-            Path(f"{folder}/{seed}-{kind}.star").write_text(contract(plans, lend))
-        refuse, lend = f"{folder}/{seed}-refuse.star", f"{folder}/{seed}-lend.star"
-        more = (folder, seed, args.seconds)
+        plans = make_plans(folder, seed, args.seconds)
+        for kind, may_lend in (("refuse", False), ("lend", True)):
+            Path(f"{folder}/{seed}-{kind}.star").write_text(contract_text(plans, may_lend))
+        refuse_path, lend_path = f"{folder}/{seed}-refuse.star", f"{folder}/{seed}-lend.star"
+        common = (folder, seed, args.seconds)
         if "surge" in args.case:
-            jobs += [(f"alone {team}", *more, 1, [team], None, {}) for team in ("water", "roads")]
-            for times in args.times:
+            jobs += [(f"alone {team}", *common, 1, [team], None, {}) for team in ("water", "roads")]
+            for surge_factor in args.times:
                 jobs += [
-                    (name, *more, times, list(RATES), path, {})
-                    for name, path in (("contract", lend), ("none", None))
+                    (name, *common, surge_factor, list(REQUEST_RATES), path, {})
+                    for name, path in (("contract", lend_path), ("none", None))
                 ]
         if "lend" in args.case:
             jobs += [
-                (f"idle, {name}", *more, 5, list(RATES), path, {"idle": True})
-                for name, path in (("contract", lend), ("none", None))
+                (f"idle, {name}", *common, 5, list(REQUEST_RATES), path, {"idle": True})
+                for name, path in (("contract", lend_path), ("none", None))
             ]
         if "return" in args.case:
-            jobs += [("return", *more, 5, list(RATES), lend, {"idle": True, "until": 5 / 6})]
+            jobs += [
+                (
+                    "return",
+                    *common,
+                    5,
+                    list(REQUEST_RATES),
+                    lend_path,
+                    {"idle": True, "until": 5 / 6},
+                )
+            ]
         if "uneven" in args.case:
             jobs += [
-                (f"uneven {share}", *more, 1, list(RATES), path, {"uneven": share})
+                (f"uneven {share}", *common, 1, list(REQUEST_RATES), path, {"uneven": share})
                 for share in (0.0, 0.3, 0.6)
-                for path in (refuse,)
+                for path in (refuse_path,)
             ]
         if "retries" in args.case:
             jobs += [
-                ("retries, alone", *more, 1, ["water"], refuse, {"sick": True}),
-                ("retries, with parks", *more, 10, ["water", "parks"], refuse, {"sick": True}),
+                ("retries, alone", *common, 1, ["water"], refuse_path, {"sick": True}),
+                (
+                    "retries, with parks",
+                    *common,
+                    10,
+                    ["water", "parks"],
+                    refuse_path,
+                    {"sick": True},
+                ),
             ]
-    worst = 0.0
+    max_loss = 0.0
     alone: dict[tuple[int, str], float] = {}
     with ProcessPoolExecutor(args.jobs) as pool:
-        for found in pool.map(one, jobs):
-            if found["label"].startswith("alone"):
+        for result in pool.map(run_job, jobs):
+            if result["label"].startswith("alone"):
                 alone |= {
-                    (found["seed"], team): each["service"] for team, each in found["teams"].items()
+                    (result["seed"], team): each["service"]
+                    for team, each in result["teams"].items()
                 }
             loss = {
-                team: round(alone[found["seed"], team] - each["service"], 1)
-                for team, each in found["teams"].items()
-                if (found["seed"], team) in alone and found["label"] in ("contract", "none")
+                team: round(alone[result["seed"], team] - each["service"], 1)
+                for team, each in result["teams"].items()
+                if (result["seed"], team) in alone and result["label"] in ("contract", "none")
             }
-            if found["label"] == "contract" and loss:
-                worst = max(worst, *loss.values())
+            if result["label"] == "contract" and loss:
+                max_loss = max(max_loss, *loss.values())
             print(
                 json.dumps(
                     {
-                        "label": found["label"],
-                        "seed": found["seed"],
-                        "times": found["times"],
+                        "label": result["label"],
+                        "seed": result["seed"],
+                        "times": result["times"],
                         "loss": loss,
-                        "breaches": found["breaches"],
-                        "repeats": found["repeats"],
-                        "refused": found["refused"],
+                        "breaches": result["breaches"],
+                        "repeats": result["repeats"],
+                        "refused": result["refused"],
                     }
                     | {
                         team: {key: value for key, value in each.items() if key != "by_second"}
-                        for team, each in found["teams"].items()
+                        for team, each in result["teams"].items()
                     }
                 ),
                 flush=True,
             )
-    print(f"most that a quiet team lost with contracts: {worst} points")
-    return 1 if worst > 2.0 else 0
+    print(f"largest loss of a team without a surge, with contracts: {max_loss} points")
+    return 1 if max_loss > 2.0 else 0
 
 
 if __name__ == "__main__":
--- a/scripts/measure_timers.py
+++ b/scripts/measure_timers.py
@@ -3,8 +3,9 @@
     python scripts/measure_timers.py [COUNT ...]      # 1000 100000 1000000 by default
 
 The wheel (Varghese and Lauck, 1987) has four levels of 256 slots of 1 ms, 256 ms, 65.5 s and 4.7 h; a slot is a dict,
-so that calling off frees at once; within a slot timers are sorted, so that both give the same order, which is checked.
-Each figure is the median of five (three of the largest), in one process a count, the two in turn.
+so that cancelling frees a timer at once; timers of one slot are sorted, so that both structures give the same order,
+which is checked. Each result is the median of five runs (three for the largest count), in which the structures alternate
+in one process.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class Timer:
-    """A call at a time."""
+    """A call scheduled for a time."""
 
     __slots__ = ("call", "number", "slot", "when")
 
@@ -31,49 +32,49 @@
 
 
 class Heap:
-    """As the loop has it."""
+    """The heap with lazy deletion, as in the loop."""
 
     def __init__(self, now):
-        self.items, self.off, self.count = [], 0, 0
+        self.items, self.cancelled_count, self.count = [], 0, 0
 
     def set(self, when, call):
-        """Plan a call."""
+        """Schedule a call."""
         self.count += 1
         timer = Timer(when, call, self.count)
         heapq.heappush(self.items, (when, self.count, timer))
         return timer
 
-    def call_off(self, timer):
-        """Call it off; cleared out at times."""
+    def cancel(self, timer):
+        """Cancel a timer; the heap is rebuilt when more than half of its entries are cancelled."""
         if timer.call is not None:
             timer.call = None
-            self.off += 1
-            if self.off > 64 and 2 * self.off > len(self.items):
+            self.cancelled_count += 1
+            if self.cancelled_count > 64 and 2 * self.cancelled_count > len(self.items):
                 self.items = [item for item in self.items if item[2].call is not None]
                 heapq.heapify(self.items)
-                self.off = 0
+                self.cancelled_count = 0
 
     def fire(self, now):
-        """Run what is due."""
+        """Run the calls that are due."""
         items = self.items
         while items and items[0][0] <= now:
             call = heapq.heappop(items)[2].call
             if call is None:
-                self.off -= 1
+                self.cancelled_count -= 1
             else:
                 call()
 
 
 class Wheel:
-    """Hierarchical, 1 ms."""
+    """A hierarchical timing wheel with ticks of 1 ms."""
 
     def __init__(self, now):
         self.tick, self.count = int(now * 1000), 0
         self.levels = [[{} for _ in range(SLOTS)] for _ in range(LEVELS)]
-        self.marks = [0] * LEVELS  # a bit for each slot that holds something
+        self.occupied_slots = [0] * LEVELS  # per level, a bit for each slot that may hold timers
 
     def set(self, when, call):
-        """Plan a call."""
+        """Schedule a call."""
         self.count += 1
         timer = Timer(when, call, self.count)
         self._place(timer)
@@ -86,20 +87,20 @@
         slot = (tick >> (BITS * level)) & MASK
         timer.slot = self.levels[level][slot]
         timer.slot[timer] = None
-        self.marks[level] |= 1 << slot
+        self.occupied_slots[level] |= 1 << slot
 
-    def call_off(self, timer):
-        """Call it off; gone at once."""
+    def cancel(self, timer):
+        """Cancel a timer and remove it at once."""
         if timer.call is not None:
             timer.call = None
             timer.slot.pop(timer, None)
 
     def fire(self, now):
-        """Run what is due, slot by slot; empty stretches are skipped by the marks."""
+        """Run the calls that are due, slot by slot; ``occupied_slots`` lets it skip empty slots."""
         last = int(now * 1000)
         while True:
-            at = self.tick & MASK
-            ahead = self.marks[0] >> at
+            slot_index = self.tick & MASK
+            ahead = self.occupied_slots[0] >> slot_index
             if ahead:
                 tick = self.tick + ((ahead & -ahead).bit_length() - 1)
             else:
@@ -114,139 +115,150 @@
                 self._cascade()
                 continue
             self.tick, slot = tick, tick & MASK
-            held = self.levels[0][slot]
-            due = sorted((t for t in held if t.when <= now), key=lambda t: (t.when, t.number))
+            slot_timers = self.levels[0][slot]
+            due = sorted(
+                (t for t in slot_timers if t.when <= now), key=lambda t: (t.when, t.number)
+            )
             for timer in due:
-                held.pop(timer, None)
+                slot_timers.pop(timer, None)
                 if timer.call is not None:
                     timer.call()
-            if held:
-                return  # later within this millisecond
-            self.marks[0] &= ~(1 << slot)
+            if slot_timers:
+                return  # the remaining timers are due later in this millisecond
+            self.occupied_slots[0] &= ~(1 << slot)
 
     def _cascade(self):
         for level in range(1, LEVELS):
             slot = (self.tick >> (BITS * level)) & MASK
-            held, self.levels[level][slot] = self.levels[level][slot], {}
-            self.marks[level] &= ~(1 << slot)
-            for timer in held:
+            slot_timers, self.levels[level][slot] = self.levels[level][slot], {}
+            self.occupied_slots[level] &= ~(1 << slot)
+            for timer in slot_timers:
                 self._place(timer)
             if slot:
                 return
 
 
-def alike():
-    """Both give the same order, also of what is called off; the check behind all figures."""
+def check_same_order():
+    """Check that both structures run calls in the same order, with cancelled timers too."""
     for seed in range(20):
-        draw, told = random.Random(seed), []
-        for kind in (Heap, Wheel):
-            draw.seed(seed)
+        rng, orders = random.Random(seed), []
+        for structure_class in (Heap, Wheel):
+            rng.seed(seed)
             now, order, timers = 1_000_000.0, [], []
-            made = kind(now)
+            structure = structure_class(now)
             for n in range(2_000):
                 timers.append(
-                    made.set(
-                        now + draw.choice([0, 0.001, draw.random() * 3, 70 * draw.random()]),
+                    structure.set(
+                        now + rng.choice([0, 0.001, rng.random() * 3, 70 * rng.random()]),
                         lambda n=n, order=order: order.append(n),
                     )
                 )
-                if draw.random() < 0.7:
-                    made.call_off(draw.choice(timers))
-                if draw.random() < 0.2:
-                    now += draw.random() / 2
-                    made.fire(now)
-            made.fire(now + 100)
-            told.append(order)
-        assert told[0] == told[1], f"orders differ, seed {seed}"
+                if rng.random() < 0.7:
+                    structure.cancel(rng.choice(timers))
+                if rng.random() < 0.2:
+                    now += rng.random() / 2
+                    structure.fire(now)
+            structure.fire(now + 100)
+            orders.append(order)
+        assert orders[0] == orders[1], f"orders differ, seed {seed}"
 
 
-def once(kind, count):
-    """Seconds: set, call off 95 in 100, fire the rest over 30 s in steps of 5 ms, then 100,000 due together."""
-    draw, now, fired = random.Random(1), 1_000_000.0, [0]
-    delays = [draw.random() * 25 for _ in range(count)]
+def measure_phases(structure_class, count):
+    """Return the seconds to set, to cancel 95%, to fire the rest in steps of 5 ms over 30 s, and for 100,000 in one tick."""
+    rng, now, fired_count = random.Random(1), 1_000_000.0, [0]
+    delays = [rng.random() * 25 for _ in range(count)]
 
     def call():
-        fired[0] += 1
+        fired_count[0] += 1
 
-    made = kind(now)
-    begun = time.perf_counter()
-    timers = [made.set(now + delay, call) for delay in delays]
-    one = time.perf_counter()
+    structure = structure_class(now)
+    started_s = time.perf_counter()
+    timers = [structure.set(now + delay, call) for delay in delays]
+    set_s = time.perf_counter()
     for number, timer in enumerate(timers):
         if number % 20:
-            made.call_off(timer)
-    two = time.perf_counter()
+            structure.cancel(timer)
+    cancelled_s = time.perf_counter()
     for step in range(1, 6_000):
-        made.fire(now + step * 0.005)
-    three = time.perf_counter()
+        structure.fire(now + step * 0.005)
+    fired_s = time.perf_counter()
     del timers
     for _ in range(100_000):
-        made.set(now + 40.0, call)
-    four = time.perf_counter()
-    made.fire(now + 41.0)
-    five = time.perf_counter()
-    assert fired[0] == (count + 19) // 20 + 100_000
-    return one - begun, two - one, three - two, four - three, five - four
-
-
-def churn(kind, open_at_once, total=300_000):
-    """Seconds for what a broker does: set one, call off the one set so many before."""
-    draw, now, made, held = random.Random(2), 1_000_000.0, kind(1_000_000.0), []
-    delays = [draw.random() * 25 for _ in range(1_000)]
-    begun = time.perf_counter()
+        structure.set(now + 40.0, call)
+    refilled_s = time.perf_counter()
+    structure.fire(now + 41.0)
+    ended_s = time.perf_counter()
+    assert fired_count[0] == (count + 19) // 20 + 100_000
+    return (
+        set_s - started_s,
+        cancelled_s - set_s,
+        fired_s - cancelled_s,
+        refilled_s - fired_s,
+        ended_s - refilled_s,
+    )
+
+
+def measure_churn(structure_class, open_at_once, total=300_000):
+    """Return the seconds for the pattern of a broker: set a timer, cancel the one set ``open_at_once`` timers ago."""
+    rng, now, structure, timers = random.Random(2), 1_000_000.0, structure_class(1_000_000.0), []
+    delays = [rng.random() * 25 for _ in range(1_000)]
+    started_s = time.perf_counter()
     for number in range(total):
-        held.append(made.set(now + delays[number % 1_000], lambda: None))
+        timers.append(structure.set(now + delays[number % 1_000], lambda: None))
         if number >= open_at_once:
-            made.call_off(held[number - open_at_once])
-            held[number - open_at_once] = None
+            structure.cancel(timers[number - open_at_once])
+            timers[number - open_at_once] = None
         if not number % 150:
             now += 0.005
-            made.fire(now)
-    return time.perf_counter() - begun
+            structure.fire(now)
+    return time.perf_counter() - started_s
 
 
-def memory(kind, count):
-    """MB held by so many timers, and after 95 in 100 are called off."""
+def measure_memory(structure_class, count):
+    """Return the MB held by ``count`` timers, and the MB held after 95% of them are cancelled."""
     tracemalloc.start()
-    made = kind(1_000_000.0)
-    timers = [made.set(1_000_000.0 + n % 25_000 / 1000, None.__class__) for n in range(count)]
-    full = tracemalloc.get_traced_memory()[0]
+    structure = structure_class(1_000_000.0)
+    timers = [structure.set(1_000_000.0 + n % 25_000 / 1000, None.__class__) for n in range(count)]
+    full_bytes = tracemalloc.get_traced_memory()[0]
     for number, timer in enumerate(timers):
         if number % 20:
-            made.call_off(timer)
+            structure.cancel(timer)
     del timers, timer
-    rest = tracemalloc.get_traced_memory()[0]
+    remaining_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return full / 1e6, rest / 1e6
+    return full_bytes / 1e6, remaining_bytes / 1e6
 
 
 def main():
-    """Measure."""
-    alike()
+    """Check the order, then print the results."""
+    check_same_order()
     gc.disable()
     print(
-        "the same order in 20 random runs of 2,000 timers; then ms: set, call off 95%, fire the rest, set 100,000 "
+        "the same order in 20 random runs of 2,000 timers; then ms: set, cancel 95%, fire the rest, set 100,000 "
         "for one tick, fire them; MB full, MB after"
     )
     for count in map(int, sys.argv[1:] or ("1000", "100000", "1000000")):
-        found = {kind: [] for kind in (Heap, Wheel)}
+        results = {structure_class: [] for structure_class in (Heap, Wheel)}
         for _ in range(5 if count < 1_000_000 else 3):
-            for kind, rows in found.items():
-                rows.append(once(kind, count))
-        for kind, rows in found.items():
-            mb = memory(kind, min(count, 300_000))
+            for structure_class, rows in results.items():
+                rows.append(measure_phases(structure_class, count))
+        for structure_class, rows in results.items():
+            held_mb = measure_memory(structure_class, min(count, 300_000))
             print(
-                f"{count:>8} {kind.__name__:6}",
+                f"{count:>8} {structure_class.__name__:6}",
                 *(f"{1000 * statistics.median(column):9.2f}" for column in zip(*rows, strict=True)),
-                f"{mb[0]:8.1f} {mb[1]:7.1f}",
+                f"{held_mb[0]:8.1f} {held_mb[1]:7.1f}",
             )
     for size in (100, 5_000):
-        rows = {kind: [churn(kind, size) for _ in range(5)] for kind in (Heap, Wheel)}
+        rows = {
+            structure_class: [measure_churn(structure_class, size) for _ in range(5)]
+            for structure_class in (Heap, Wheel)
+        }
         print(
             f"churn with {size} open, us each:",
             {
-                kind.__name__: round(statistics.median(values) / 0.3, 2)
-                for kind, values in rows.items()
+                structure_class.__name__: round(statistics.median(values) / 0.3, 2)
+                for structure_class, values in rows.items()
             },
         )
 
