--- a/scripts/explore_life.py
+++ b/scripts/explore_life.py
@@ -1,6 +1,6 @@
-"""Explore the model of one request to its full depth, and play its traces against the real stages.
+"""Explore the model of one request to its full depth, and replay its traces against the real stages.
 
-python scripts/explore_life.py [DEPTH]      # 5 by default: some 4,000 traces, half a minute; 6: some five minutes
+python scripts/explore_life.py [DEPTH]      # 5 by default: about 4,000 traces in half a minute; 6: about five minutes
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 
 def main() -> int:
-    """Print what was found; 1 where anything is wrong."""
+    """Print the results; return 1 on any violation or difference."""
     logging.disable(logging.CRITICAL)
-    depth, begun = int(sys.argv[1]) if sys.argv[1:] else 5, time.monotonic()
-    found = explore()
+    depth, started_s = int(sys.argv[1]) if sys.argv[1:] else 5, time.monotonic()
+    result = explore()
     print(
-        f"model: {found.state_count} states, {found.step_count} steps, depth {found.depth}, "
-        f"{len(found.violations)} wrong"
+        f"model: {result.state_count} states, {result.step_count} steps, depth {result.depth}, "
+        f"{len(result.violations)} wrong"
     )
-    bad = list(found.violations)
+    failures = list(result.violations)
     for unsafe, cancel in ((False, False), (True, False), (False, True), (True, True)):
-        count, events, differs = play_all(
+        count, events, mismatches = play_all(
             depth, unsafe, traces, lambda text: print(text, flush=True), cancel
         )
         kind = ("load" if unsafe else "safe") + (", cancels allowed" if cancel else "")
-        print(f"{kind}: {count} traces of depth {depth}, {events} events, {len(differs)} differ")
-        print(*differs[:20], sep="\n")
-        bad += differs
-    print(f"{time.monotonic() - begun:.0f} s")
-    return 1 if bad else 0
+        print(f"{kind}: {count} traces of depth {depth}, {events} events, {len(mismatches)} differ")
+        print(*mismatches[:20], sep="\n")
+        failures += mismatches
+    print(f"{time.monotonic() - started_s:.0f} s")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/scripts/measure_contracts.py
+++ b/scripts/measure_contracts.py
@@ -1,10 +1,10 @@
-"""What a decision of a contract costs, and the memory of a team: 1, 100 and 10,000 teams, of which 50 ask.
+"""Measure the time of a contract decision and the memory of a team, with 1, 100 and 10,000 teams, at most 50 active.
 
     python scripts/measure_contracts.py [--decisions 100000] [--rounds 5]
 
-Beside it the plain way: a token bucket for requests and one for work by team and class, refilled when looked at, and a
-sum over all teams of what they leave unused whenever something is to be lent. Both take and settle the same requests in
-turn, in one process; the figure is the median of the rounds, microseconds for a take and its settlement together.
+The comparison is a plain implementation: one token bucket for requests and one for work per team and class, refilled on
+access, and a sum of the unused work of all teams whenever a team wants to borrow. Both admit and settle the same requests,
+alternating in one process. The result is the median of the rounds: microseconds for an admission and its settlement.
 """
 
 from __future__ import annotations
@@ -26,108 +26,116 @@
 from umberusher.teams.contract import Contract, Team, Terms
 from umberusher.teams.retry_budget import RetryBudgetTerms
 
-RATE, WORK, ACTIVE = 10.0, 50.0, 50
+RATE_PER_S, WORK_MS, ACTIVE_TEAMS = 10.0, 50.0, 50
 
 
-class Plain:
-    """Levels that are filled when they are looked at; what is idle is summed up each time it is wanted."""
+class PlainTokenBuckets:
+    """Token buckets that are refilled on access; unused work is summed over all teams for each loan."""
 
     def __init__(self, teams: list[str]) -> None:
-        self.levels = {team: [RATE, RATE * WORK, 0.0] for team in teams}
+        self.levels = {team: [RATE_PER_S, RATE_PER_S * WORK_MS, 0.0] for team in teams}
         self.lent = 0.0
 
-    def _fill(self, team: str, now: float) -> list[float]:
+    def _refill(self, team: str, now: float) -> list[float]:
         level = self.levels[team]
-        passed, level[2] = now - level[2], now
-        level[0] = min(level[0] + passed * RATE / 1000.0, RATE)
-        level[1] = min(level[1] + passed * RATE * WORK / 1000.0, RATE * WORK)
+        elapsed_ms, level[2] = now - level[2], now
+        level[0] = min(level[0] + elapsed_ms * RATE_PER_S / 1000.0, RATE_PER_S)
+        level[1] = min(level[1] + elapsed_ms * RATE_PER_S * WORK_MS / 1000.0, RATE_PER_S * WORK_MS)
         return level
 
-    def take(self, now: float, team: str, cost: float) -> bool:
-        """Take, or borrow what others leave."""
-        level = self._fill(team, now)
+    def admit(self, now: float, team: str, cost: float) -> bool:
+        """Admit from the team's own buckets, or from the unused work of all teams."""
+        level = self._refill(team, now)
         if level[0] >= 1.0 and level[1] >= cost:
             level[0] -= 1.0
             level[1] -= cost
             return True
-        idle = sum(self._fill(each, now)[1] for each in self.levels)
+        idle = sum(self._refill(each, now)[1] for each in self.levels)
         return idle - self.lent >= cost
 
-    def settle(self, team: str, cost: float, took: float) -> None:
-        """Charge the difference."""
-        self.levels[team][1] += cost - took
+    def settle(self, team: str, cost: float, actual: float) -> None:
+        """Credit or charge the difference between estimated and actual work."""
+        self.levels[team][1] += cost - actual
 
 
-def contract(count: int) -> Contract:
-    """So many teams with one class."""
-    terms = Map({"lookup": Terms(RATE, RATE, WORK)})
+def make_contract(count: int) -> Contract:
+    """Build a contract of ``count`` teams with one class."""
+    terms = Map({"lookup": Terms(RATE_PER_S, RATE_PER_S, WORK_MS)})
     teams = {
         f"team-{n}": Team(f"team-{n}", terms, 1.0 / count, 1.0 / count, "lend")
         for n in range(count)
     }
-    return Contract(Map(teams), count * RATE * WORK, 1e6, 1e9)
+    return Contract(Map(teams), count * RATE_PER_S * WORK_MS, 1e6, 1e9)
 
 
-def timed(call, decisions: int) -> float:
-    """Microseconds a decision."""
+def us_per_decision(call, decisions: int) -> float:
+    """Return the microseconds per decision."""
     gc.collect()
-    begun = time.perf_counter()
+    started_s = time.perf_counter()
     call(decisions)
-    return (time.perf_counter() - begun) / decisions * 1e6
+    return (time.perf_counter() - started_s) / decisions * 1e6
 
 
 def main() -> int:
-    """Print a line a count of teams and load."""
+    """Print one line for each count of teams and load."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--decisions", type=int, default=100_000)
     parser.add_argument("--rounds", type=int, default=5)
     args = parser.parse_args()
     for count in (1, 100, 10_000):
-        for load, every in (
+        for load, interval_ms in (
             ("within", 4.0),
             ("over", 0.5),
-        ):  # 250 and 2,000 a second, 500 promised to those who ask
-            found: dict[str, list[float]] = {"plain": [], "here": []}
-            active = [f"team-{n}" for n in range(min(ACTIVE, count))]
-            every_ms = every * ACTIVE / len(active)
+        ):  # 250 and 2,000 requests per second; 50 active teams are promised 500
+            results: dict[str, list[float]] = {"plain": [], "here": []}
+            active = [f"team-{n}" for n in range(min(ACTIVE_TEAMS, count))]
+            team_interval_ms = interval_ms * ACTIVE_TEAMS / len(active)
             for _ in range(args.rounds):
-                house = TeamAdmission(contract(count), 1, 0.0, RetryBudgetTerms(5.0, 0.1, 10_000.0))
-                plain = Plain(list(contract(count).teams))
+                admission = TeamAdmission(
+                    make_contract(count), 1, 0.0, RetryBudgetTerms(5.0, 0.1, 10_000.0)
+                )
+                plain = PlainTokenBuckets(list(make_contract(count).teams))
                 if load == "over":
                     for team in active:
                         plain.levels[team] = [0.0, 0.0, 0.0]
 
-                def here(n: int, house=house, active=active, every_ms=every_ms) -> None:
+                def run_admission(
+                    n: int, admission=admission, active=active, team_interval_ms=team_interval_ms
+                ) -> None:
                     for number in range(n):
-                        now = number * every_ms
-                        charge = house.admit(
-                            now, active[number % len(active)], "lookup", estimate=WORK
+                        now = number * team_interval_ms
+                        charge = admission.admit(
+                            now, active[number % len(active)], "lookup", estimate=WORK_MS
                         )
                         if isinstance(charge, Charge):
-                            house.settle(now + 1.0, charge, WORK)
+                            admission.settle(now + 1.0, charge, WORK_MS)
 
-                def there(n: int, plain=plain, active=active, every_ms=every_ms) -> None:
+                def run_plain(
+                    n: int, plain=plain, active=active, team_interval_ms=team_interval_ms
+                ) -> None:
                     for number in range(n):
                         team = active[number % len(active)]
-                        if plain.take(number * every_ms, team, WORK):
-                            plain.settle(team, WORK, WORK)
-
-                found["here"].append(timed(here, args.decisions))
-                found["plain"].append(
-                    timed(there, args.decisions if count < 10_000 or load == "within" else 300)
+                        if plain.admit(number * team_interval_ms, team, WORK_MS):
+                            plain.settle(team, WORK_MS, WORK_MS)
+
+                results["here"].append(us_per_decision(run_admission, args.decisions))
+                results["plain"].append(
+                    us_per_decision(
+                        run_plain, args.decisions if count < 10_000 or load == "within" else 300
+                    )
                 )
-            told = ", ".join(
+            summary = ", ".join(
                 f"{name} {statistics.median(each):.1f} us ({min(each):.1f} to {max(each):.1f})"
-                for name, each in found.items()
+                for name, each in results.items()
             )
-            print(f"{count} teams, {load} their promise: {told}", flush=True)
+            print(f"{count} teams, {load} their promise: {summary}", flush=True)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    made = contract(10_000)
+    new_contract = make_contract(10_000)
     after = tracemalloc.get_traced_memory()[0]
-    house = TeamAdmission(made, 1, 0.0, RetryBudgetTerms(5.0, 0.1, 10_000.0))
+    admission = TeamAdmission(new_contract, 1, 0.0, RetryBudgetTerms(5.0, 0.1, 10_000.0))
     for number in range(2_000):
-        house.admit(1.0, f"team-{number}", "lookup", estimate=WORK)
+        admission.admit(1.0, f"team-{number}", "lookup", estimate=WORK_MS)
     used = tracemalloc.get_traced_memory()[0]
     print(
         f"memory a team: contract {(after - before) / 10_000:.0f} bytes, state while it is active "
--- a/scripts/measure_readers.py
+++ b/scripts/measure_readers.py
@@ -1,9 +1,9 @@
-"""Compare ways to read task_events: this project's reader, bare csv, polars. Each in a process of its own.
+"""Compare readers of task_events: this project's reader, the csv module alone, polars. Each runs in its own process.
 
     .ci-venv/bin/pip install -r requirements-measure.txt
     python scripts/measure_readers.py [ROWS ...]       # 100000 1000000 by default
 
-Prints seconds and peak memory (the process's own high-water mark), and what each says of the file with defects.
+Prints seconds and peak memory (high-water mark of the process), and the result of each for the file with defects.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-DEFECTS = ROOT / "examples" / "traces" / "task_events-defects.csv"
+DEFECTS_FILE = ROOT / "examples" / "traces" / "task_events-defects.csv"
 COLUMNS = 13
 
 
-def ours(path: str) -> str:
-    """The reader, in full: types, ranges, order, duplicates."""
+def read_with_project_reader(path: str) -> str:
+    """Read with all checks of the project's reader: types, ranges, order, duplicates."""
     from umberusher.traces.layouts import TASK_EVENTS
     from umberusher.traces.reader import Reader
 
@@ -32,16 +32,16 @@
     return f"{tally.rows} rows, {tally.kept} kept, rejected {dict(tally.rejected)}"
 
 
-def bare(path: str) -> str:
-    """Csv alone: splitting, nothing looked at."""
+def read_with_csv(path: str) -> str:
+    """Split rows with the csv module, without any checks."""
     import csv
 
     with open(path, encoding="utf-8", errors="replace", newline="") as source:
         return f"{sum(1 for _ in csv.reader(source))} rows"
 
 
-def polars(path: str) -> str:
-    """Polars with types, bad values as nulls, batches of its streaming reader."""
+def read_with_polars(path: str) -> str:
+    """Read with polars' streaming engine, with typed columns and invalid values as nulls."""
     import polars as pl
 
     types = [
@@ -64,7 +64,7 @@
         frame = pl.scan_csv(
             path, has_header=False, schema=schema, ignore_errors=True, truncate_ragged_lines=True
         )
-        kept = (
+        kept_rows = (
             frame.filter(
                 pl.col("column_6").is_between(0, 8)
                 & pl.col("column_1").is_not_null()
@@ -74,21 +74,25 @@
             .collect(engine="streaming")
             .item()
         )
-        return f"{kept} kept, no reasons"
+        return f"{kept_rows} kept, no reasons"
     except Exception as error:
         return f"ends: {type(error).__name__}: {str(error).splitlines()[0][:90]}"
 
 
-WAYS = {"reader": ours, "csv alone": bare, "polars": polars}
+READERS = {
+    "reader": read_with_project_reader,
+    "csv alone": read_with_csv,
+    "polars": read_with_polars,
+}
 
 
 def main() -> None:
-    """Measure, or (with a way's name) be one measurement."""
-    if sys.argv[1:2] and sys.argv[1] in WAYS:
-        begun = time.perf_counter()
-        said = WAYS[sys.argv[1]](sys.argv[2])
+    """Compare all readers; with the name of a reader, run that one measurement."""
+    if sys.argv[1:2] and sys.argv[1] in READERS:
+        started_s = time.perf_counter()
+        summary = READERS[sys.argv[1]](sys.argv[2])
         peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-        print(f"{time.perf_counter() - begun:.2f} s, {peak:.0f} MB: {said}")
+        print(f"{time.perf_counter() - started_s:.2f} s, {peak:.0f} MB: {summary}")
         return
     sys.path.insert(0, str(ROOT))
     from umberusher.traces.patterns import task_events
@@ -98,22 +102,30 @@
             path = Path(folder) / f"{rows}.csv"
             with open(path, "w", encoding="ascii") as target:
                 target.writelines(f"{line}\n" for line in task_events("steady", rows, 150, 1, rows))
-            for way in WAYS:
-                print(f"{rows:>8} {way:10}", _measured(way, str(path)), flush=True)
-        for way in WAYS:
-            print(f" defects {way:10}", _measured(way, str(DEFECTS)), flush=True)
+            for reader_name in READERS:
+                print(
+                    f"{rows:>8} {reader_name:10}",
+                    _run_in_process(reader_name, str(path)),
+                    flush=True,
+                )
+        for reader_name in READERS:
+            print(
+                f" defects {reader_name:10}",
+                _run_in_process(reader_name, str(DEFECTS_FILE)),
+                flush=True,
+            )
 
 
-def _measured(way: str, path: str) -> str:
-    done = subprocess.run(
-        [sys.executable, __file__, way, path],
+def _run_in_process(reader_name: str, path: str) -> str:
+    process = subprocess.run(
+        [sys.executable, __file__, reader_name, path],
         capture_output=True,
         text=True,
         cwd=ROOT,
         env={"PYTHONPATH": str(ROOT), "POLARS_MAX_THREADS": "1"},
         check=False,
     )
-    return done.stdout.strip() or done.stderr.strip().splitlines()[-1]
+    return process.stdout.strip() or process.stderr.strip().splitlines()[-1]
 
 
 if __name__ == "__main__":
--- a/scripts/measure_slow_start.py
+++ b/scripts/measure_slow_start.py
@@ -1,6 +1,6 @@
-"""Count the seeds on which a fleet sends a cold engine more calls than N + 2 x root of N + 2 in a window.
+"""Count the seeds on which a fleet sends a cold engine more calls than N + 2 sqrt(N) + 2 in a window.
 
-python scripts/measure_slow_start.py [SEEDS] [NAME ...]     # 12 seeds of each of 16 scenarios: some two minutes
+python scripts/measure_slow_start.py [SEEDS] [NAME ...]     # 12 seeds of each of 16 scenarios: about two minutes
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from tests.decisions.fleet_player import RULES, Fleet, simulate_fleet, worst_budget_excess
 
 
-def late(chance) -> float:
-    """Gateways hear of the start that many ms after it."""
-    return 2500 + 900 * chance.random()
+def late_notification_ms(rng) -> float:
+    """Return the delay in ms after which brokers are notified of an engine's start."""
+    return 2500 + 900 * rng.random()
 
 
 SECOND_SITE = RULES | {
@@ -30,8 +30,8 @@
     "20lost": Fleet(20, 20, 20, outage_at_ms=3000, load=1.0),
     "30lost": Fleet(30, 20, 20, outage_at_ms=3000, load=1.0),
     "200lost": Fleet(200, 40, 20, outage_at_ms=4500, seconds=7, load=1.0),
-    "200late": Fleet(200, 40, 20, notification_delay_ms=late, seconds=7, load=1.1),
-    "30late": Fleet(30, 20, 10, notification_delay_ms=late, load=1.1),
+    "200late": Fleet(200, 40, 20, notification_delay_ms=late_notification_ms, seconds=7, load=1.1),
+    "30late": Fleet(30, 20, 10, notification_delay_ms=late_notification_ms, load=1.1),
     "30one": Fleet(30, 8, 1, load=1.2),
     "200one": Fleet(200, 30, 1, load=1.2, seconds=6),
     "20one": Fleet(20, 8, 1, load=1.2),
@@ -50,24 +50,24 @@
 }
 
 
-def one(job: tuple[str, int]) -> tuple[str, float]:
-    """A scenario's name, and how far its worst window lies over the bound, in N."""
+def run_seed(job: tuple[str, int]) -> tuple[str, float]:
+    """Return the scenario's name and the excess of its worst window over the bound, in units of N."""
     name, seed = job
     return name, worst_budget_excess(FLEETS[name], simulate_fleet(FLEETS[name], seed))
 
 
 def main() -> None:
-    """Print a line a scenario."""
+    """Print one line for each scenario."""
     seeds, names = int(sys.argv[1]) if sys.argv[1:] else 12, sys.argv[2:] or list(FLEETS)
     with Pool() as pool:
-        found = pool.map(
-            one, [(name, seed) for name in names for seed in range(seeds)], chunksize=1
+        results = pool.map(
+            run_seed, [(name, seed) for name in names for seed in range(seeds)], chunksize=1
         )
     for name in names:
-        worst = sorted(value for each, value in found if each == name)
+        excesses = sorted(value for each, value in results if each == name)
         print(
-            f"{name:8} over on {sum(value > 0 for value in worst)} of {seeds}, worst {worst[-1]:+.2f} N, "
-            f"median {worst[len(worst) // 2]:+.2f} N"
+            f"{name:8} over on {sum(value > 0 for value in excesses)} of {seeds}, worst {excesses[-1]:+.2f} N, "
+            f"median {excesses[len(excesses) // 2]:+.2f} N"
         )
 
 
--- a/scripts/measure_subsets.py
+++ b/scripts/measure_subsets.py
@@ -1,10 +1,11 @@
-"""Ways to choose which engines a broker holds, without a word between brokers: balance, movement, overlap, counted.
+"""Compare methods that choose a broker's subset of engines without communication between brokers.
 
     python scripts/measure_subsets.py [--brokers 2100] [--engines 32000] [--held 256] [--json measurements/subsets.json]
 
-For each way: brokers an engine (least, mean, most, most over mean), the engines that all brokers together take in or
-let go when an engine goes (mean of eight that go at once) and when there is one broker more, and the largest part of
-its engines that a broker shares with any other (mean of 100 brokers). Nothing is timed; it gives the same each time.
+For each method it counts balance, movement and overlap: brokers per engine (minimum, mean, maximum, maximum over mean);
+the engines that all brokers together add or remove when an engine is removed (mean of eight removed at once) and when one
+broker is added; and the largest fraction of its engines that a broker shares with any other (mean of 100 brokers). It
+measures no time, so its results are the same in each run.
 """
 
 from __future__ import annotations
@@ -24,10 +25,9 @@
 from umberusher.endpoints import subset_ring
 from umberusher.endpoints.subset_ring import SubsetRing
 
-Way = Callable[
-    [list[str], int, int], Callable[[int], set[str]]
-]  # engines, brokers, held; then a place -> its engines
-GONE = 8  # engines that go at once
+# From engines, brokers and subset size to a function from a broker's index to its engines.
+SubsetMethod = Callable[[list[str], int, int], Callable[[int], set[str]]]
+REMOVED_ENGINES = 8  # engines removed at once
 
 
 def _hash(engine: str, salt: int) -> float:
@@ -36,142 +36,148 @@
 
 
 def rendezvous(engines: list[str], brokers: int, held: int) -> Callable[[int], set[str]]:
-    """Each broker takes the engines whose hash with its own name is least: as even as a draw at random."""
+    """Each broker holds the engines with the smallest hash with its own name: as even as a random draw."""
     hashes = {engine: int(_hash(engine, 0) * 2**64) for engine in engines}
 
-    def of(place: int) -> set[str]:
-        salt = random.Random(place).getrandbits(64)
+    def engines_of(index: int) -> set[str]:
+        salt = random.Random(index).getrandbits(64)
         return set(
             sorted(engines, key=lambda e: ((hashes[e] ^ salt) * 0x9E3779B97F4A7C15 >> 7) % 2**61)[
                 :held
             ]
         )
 
-    return of
+    return engines_of
 
 
 def shuffled(engines: list[str], brokers: int, held: int) -> Callable[[int], set[str]]:
-    """Rounds of brokers, each over a shuffle of the sorted list, cut in pieces ("Site Reliability Engineering", 20)."""
+    """Each round of brokers cuts a shuffle of the sorted list in pieces ("Site Reliability Engineering", chapter 20)."""
     pieces = max(len(engines) // held, 1)
 
-    def of(place: int) -> set[str]:
-        turn, piece = divmod(place, pieces)
+    def engines_of(index: int) -> set[str]:
+        shuffle_round, piece = divmod(index, pieces)
         order = sorted(engines)
-        random.Random(turn).shuffle(order)
+        random.Random(shuffle_round).shuffle(order)
         return set(order[piece * held : (piece + 1) * held])
 
-    return of
+    return engines_of
 
 
-def ring(places: Callable[[int, int], float]) -> Way:
-    """One ring for all: engines by hash, brokers where ``places`` puts them; each holds the engines that follow it."""
+def single_ring(position_of: Callable[[int, int], float]) -> SubsetMethod:
+    """One ring: engines by hash, brokers at ``position_of``; each broker holds the engines that follow it."""
 
-    def way(engines: list[str], brokers: int, held: int) -> Callable[[int], set[str]]:
-        lying = sorted((_hash(engine, 0), engine) for engine in engines)
-        keys = [key for key, _ in lying]
+    def method(engines: list[str], brokers: int, held: int) -> Callable[[int], set[str]]:
+        ring_entries = sorted((_hash(engine, 0), engine) for engine in engines)
+        keys = [key for key, _ in ring_entries]
 
-        def of(place: int) -> set[str]:
-            first = bisect.bisect_left(keys, places(place, brokers))
-            return {lying[(first + n) % len(lying)][1] for n in range(held)}
+        def engines_of(index: int) -> set[str]:
+            first = bisect.bisect_left(keys, position_of(index, brokers))
+            return {ring_entries[(first + n) % len(ring_entries)][1] for n in range(held)}
 
-        return of
+        return engines_of
 
-    return way
+    return method
 
 
-def halving(place: int, brokers: int) -> float:
-    """The van der Corput sequence: each next one lies in the widest gap."""
-    return int(f"{place:016b}"[::-1], 2) / 2**16
+def halving(index: int, brokers: int) -> float:
+    """Return a position of the van der Corput sequence: each new one lies in a widest gap."""
+    return int(f"{index:016b}"[::-1], 2) / 2**16
 
 
-def groups(slices: int, known: bool = True) -> Way:
-    """Rings by groups of as many brokers as a ring has slices: what the program does, with another number of slices."""
+def grouped_rings(slices: int, indexes_known: bool = True) -> SubsetMethod:
+    """One ring per group of as many brokers as it has slices: the program's method, with ``slices`` slices."""
 
-    def way(engines: list[str], brokers: int, held: int) -> Callable[[int], set[str]]:
-        before = subset_ring.SLICES, subset_ring.SLICE_BITS
+    def method(engines: list[str], brokers: int, held: int) -> Callable[[int], set[str]]:
+        saved_constants = subset_ring.SLICES, subset_ring.SLICE_BITS
         subset_ring.SLICES, subset_ring.SLICE_BITS = slices, slices.bit_length() - 1
         by_group: dict[int, dict[int, list[str]]] = {}
-        made = [
-            SubsetRing(brokers, place if known else None, f"broker-{place}")
-            for place in range(brokers + 1)
+        rings = [
+            SubsetRing(brokers, index if indexes_known else None, f"broker-{index}")
+            for index in range(brokers + 1)
         ]
-        width = made[0].width(len(engines), slices, held)
-        for each in made if known else ():
+        width = rings[0].width(len(engines), slices, held)
+        for each in rings if indexes_known else ():
             if each.group not in by_group:
-                lying = by_group[each.group] = {}
+                ring_entries = by_group[each.group] = {}
                 for engine in engines:
-                    lying.setdefault((each.distance(engine) + each.first) % slices, []).append(
-                        engine
-                    )
-        subset_ring.SLICES, subset_ring.SLICE_BITS = before
+                    ring_entries.setdefault(
+                        (each.distance(engine) + each.first) % slices, []
+                    ).append(engine)
+        subset_ring.SLICES, subset_ring.SLICE_BITS = saved_constants
 
-        def of(place: int) -> set[str]:
-            mine = made[place]
-            if known:
-                lying = by_group[mine.group]
-                return {e for n in range(width) for e in lying.get((mine.first + n) % slices, ())}
-            return {e for e in engines if mine.distance(e) < width}
+        def engines_of(index: int) -> set[str]:
+            own_ring = rings[index]
+            if indexes_known:
+                ring_entries = by_group[own_ring.group]
+                return {
+                    e
+                    for n in range(width)
+                    for e in ring_entries.get((own_ring.first + n) % slices, ())
+                }
+            return {e for e in engines if own_ring.distance(e) < width}
 
-        return of
+        return engines_of
 
-    return way
+    return method
 
 
-WAYS: dict[str, Way] = {
+METHODS: dict[str, SubsetMethod] = {
     "rendezvous hashing": rendezvous,
     "shuffled list in pieces": shuffled,
-    "one ring, places by hash": ring(lambda place, brokers: _hash(str(place), 1)),
-    "one ring, places halved": ring(halving),
-    "rings of 128 slices": groups(128),
-    "rings of 512 slices": groups(512),
-    "rings of 2048 slices": groups(2048),
+    "one ring, places by hash": single_ring(lambda index, brokers: _hash(str(index), 1)),
+    "one ring, places halved": single_ring(halving),
+    "rings of 128 slices": grouped_rings(128),
+    "rings of 512 slices": grouped_rings(512),
+    "rings of 2048 slices": grouped_rings(2048),
 }
 
 
-def figures(way: Way, brokers: int, engines: int, held: int) -> dict[str, float]:
-    """The counts of one way."""
+def subset_metrics(method: SubsetMethod, brokers: int, engines: int, held: int) -> dict[str, float]:
+    """Return the balance, movement and overlap of one method."""
     names = [f"e{n:05d}" for n in range(engines)]
-    of = way(names, brokers, held)
-    mine = [of(place) for place in range(brokers)]
+    engines_of = method(names, brokers, held)
+    subsets = [engines_of(index) for index in range(brokers)]
     count = Counter({name: 0 for name in names})
-    for each in mine:
+    for each in subsets:
         count.update(each)
-    mean, places = sum(count.values()) / engines, range(brokers)
-    less = way(names[:-GONE], brokers, held)
-    more = way(names, brokers + 1, held)
-    gone = sum(len(less(place) ^ mine[place]) for place in places) / GONE
-    grown = sum(len(more(place) ^ mine[place]) for place in places)
-    some = places[:: max(brokers // 100, 1)]
-    shared = sum(
-        max(len(mine[place] & mine[other]) for other in places if other != place)
-        / max(len(mine[place]), 1)
-        for place in some
-    ) / len(some)
+    mean, indexes = sum(count.values()) / engines, range(brokers)
+    after_removal = method(names[:-REMOVED_ENGINES], brokers, held)
+    after_addition = method(names, brokers + 1, held)
+    moved_by_removal = (
+        sum(len(after_removal(index) ^ subsets[index]) for index in indexes) / REMOVED_ENGINES
+    )
+    moved_by_addition = sum(len(after_addition(index) ^ subsets[index]) for index in indexes)
+    sampled_indexes = indexes[:: max(brokers // 100, 1)]
+    max_shared = sum(
+        max(len(subsets[index] & subsets[other]) for other in indexes if other != index)
+        / max(len(subsets[index]), 1)
+        for index in sampled_indexes
+    ) / len(sampled_indexes)
     return {
         "least": min(count.values()),
         "mean": round(mean, 2),
         "most": max(count.values()),
         "most_over_mean": round(max(count.values()) / mean, 3),
-        "engines_least": min(map(len, mine)),
-        "engines_most": max(map(len, mine)),
-        "moved_engine_gone": round(gone, 1),
-        "moved_broker_more": grown,
-        "shared_most": round(shared, 3),
+        "engines_least": min(map(len, subsets)),
+        "engines_most": max(map(len, subsets)),
+        "moved_engine_gone": round(moved_by_removal, 1),
+        "moved_broker_more": moved_by_addition,
+        "shared_most": round(max_shared, 3),
     }
 
 
 def main() -> int:
-    """Print a row a way."""
+    """Print one row for each method."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--brokers", type=int, default=2100)
     parser.add_argument("--engines", type=int, default=32_000)
     parser.add_argument("--held", type=int, default=256)
     parser.add_argument("--json", type=Path)
     args = parser.parse_args()
-    found = {}
-    for name, way in WAYS.items():
-        found[name] = figures(way, args.brokers, args.engines, args.held)
-        print(f"{name:26}", found[name], flush=True)
+    results = {}
+    for name, method in METHODS.items():
+        results[name] = subset_metrics(method, args.brokers, args.engines, args.held)
+        print(f"{name:26}", results[name], flush=True)
     if args.json:
         args.json.write_text(
             json.dumps(
@@ -181,7 +187,7 @@
                     "held": args.held,
                     "clock": "counted",
                     "command": "python scripts/measure_subsets.py",
-                    "ways": found,
+                    "ways": results,
                 },
                 indent=1,
             )
