--- a/tests/test_pg_codec.py
+++ b/tests/test_pg_codec.py
@@ -145,7 +145,7 @@
 def test_a_connection_begins_with_messages_that_have_no_type(data, name, fields):
     decoder = Decoder(Side.FRONT, starting=True)
     assert drain(decoder, [bytes([each]) for each in data]) == [Message(name, fields, data)]
-    decoder.begin()
+    decoder.finish_startup()
     assert drain(decoder, [message(Side.FRONT, "Sync")])[0].name == "Sync"
     assert message(Side.FRONT, name, **fields) == data
 
--- a/tests/test_pg_server.py
+++ b/tests/test_pg_server.py
@@ -246,7 +246,7 @@
     path.front.feed(parse() + SYNC)
     link.send(path.front.more(), {})
     found = [each for each in link.feed(data) if isinstance(each, Broken)]
-    assert [told in each.why for each in found] == ([True] if told else [])
+    assert [told in each.reason for each in found] == ([True] if told else [])
     if told:
         assert not link.feed(message(Side.BACK, "ParseComplete"))
 
--- a/umberusher/pg/codec.py
+++ b/umberusher/pg/codec.py
@@ -31,7 +31,7 @@
 class Unreadable:
     """The stream makes no sense any more; nothing after this can be read."""
 
-    why: str
+    reason: str
 
 
 class Piece(NamedTuple):
@@ -185,7 +185,7 @@
 class Decoder:
     """Messages of one side out of bytes in pieces.
 
-    ``starting`` is for a client's first messages, which have no type byte; ``begin`` ends that. After an Unreadable
+    ``starting`` is for a client's first messages, which have no type byte; ``finish_startup`` ends that. After an Unreadable
     nothing more comes.
     """
 
@@ -206,12 +206,12 @@
         """Bytes that are not read yet."""
         return len(self.buffer) - self.at
 
-    def begin(self) -> None:
+    def finish_startup(self) -> None:
         """The start-up is over: from here on each message has its type."""
         self.starting = False
 
-    def _die(self, why: str) -> Unreadable:
-        self.dead = Unreadable(why)
+    def _die(self, reason: str) -> Unreadable:
+        self.dead = Unreadable(reason)
         self.buffer.clear()
         self.at = 0
         return self.dead
--- a/umberusher/pg/server.py
+++ b/umberusher/pg/server.py
@@ -92,7 +92,7 @@
 class Broken:
     """Nothing more is to be had from this session."""
 
-    why: str
+    reason: str
 
 
 class ServerLink:
@@ -235,7 +235,7 @@
             if found is None:
                 return made
             if isinstance(found, Unreadable):
-                self._break(f"unreadable: {found.why}", made)
+                self._break(f"unreadable: {found.reason}", made)
             elif isinstance(found, Piece):
                 self._piece(found, made)
             else:
@@ -256,9 +256,9 @@
                 )
             )
 
-    def _break(self, why: str, made: list[Pass | Ready | Broken]) -> None:
+    def _break(self, reason: str, made: list[Pass | Ready | Broken]) -> None:
         self.phase = Phase.OVER
-        made.append(Broken(why))
+        made.append(Broken(reason))
 
     def _piece(self, found: Piece, made: list[Pass | Ready | Broken]) -> None:
         if not self.due or found.name not in INSIDE.get(self.due[0].what, ()) or self.skipping:
--- a/umberusher/pg/session.py
+++ b/umberusher/pg/session.py
@@ -153,7 +153,7 @@
 class End:
     """Close the connection once all is written."""
 
-    why: str
+    reason: str
 
 
 Event = Write | Encrypt | Login | Proof | Ask | More | Cancel | End
@@ -202,7 +202,7 @@
             if found is None:
                 return
             if isinstance(found, Unreadable):
-                self._violation(found.why)
+                self._violation(found.reason)
             elif self.state is State.START:
                 self._start(found)
             elif self.state is State.AUTH:
@@ -210,20 +210,20 @@
             else:
                 self._message(found)
 
-    def _over(self, why: str) -> None:
+    def _over(self, reason: str) -> None:
         self.state = State.OVER
         self.groups.clear()
-        self.events.append(End(why))
+        self.events.append(End(reason))
 
-    def _violation(self, why: str) -> None:
+    def _violation(self, reason: str) -> None:
         """The stream makes no sense any more."""
         if (
             self.state is not State.START
         ):  # before that a client may speak anything: nothing is told to it
             self.events.append(
-                Write(error(Answered.PROTOCOL, f"protocol violation: {why}", severity="FATAL"))
+                Write(error(Answered.PROTOCOL, f"protocol violation: {reason}", severity="FATAL"))
             )
-        self._over(why)
+        self._over(reason)
 
     def _start(self, found: Message) -> None:
         if found.name in ("SSLRequest", "GSSENCRequest"):
@@ -276,7 +276,7 @@
             self._over("replication")
             return
         self.options = {name: value for name, value in options.items() if name not in unknown}
-        self.decoder.begin()
+        self.decoder.finish_startup()
         self.state, self.waits = State.AUTH, True
         self.events.append(Login(self.options))
 
--- a/umberusher/standin/pg_server.py
+++ b/umberusher/standin/pg_server.py
@@ -117,7 +117,7 @@
                 return answers
             if isinstance(found, Unreadable):
                 self.closed = True
-                return answers + _encode_error(SqlState.PROTOCOL_VIOLATION, found.why)
+                return answers + _encode_error(SqlState.PROTOCOL_VIOLATION, found.reason)
             # Only a decoder that streams rows returns pieces of them.
             answers += self._handle(cast(Message, found))
         return answers
@@ -132,7 +132,7 @@
         return self._handlers[found.name](found.fields)
 
     def _on_startup(self) -> bytes:
-        self._decoder.begin()
+        self._decoder.finish_startup()
         return (
             _encode("Authentication", code=0, data=b"")
             + _encode("BackendKeyData", pid=1, secret=b"abcd")
