--- a/tests/test_pg_codec.py
+++ b/tests/test_pg_codec.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from umberusher.pg import messages
-from umberusher.pg.codec import BUFFER_KEPT, Decoder, Message, Piece, Unreadable, message
+from umberusher.pg.codec import MAX_CONSUMED_BYTES, Decoder, Message, Piece, Unreadable, message
 from umberusher.pg.messages import BACK, FRONT, Side
 
 TEXT = st.text(st.characters(codec="utf-8", exclude_characters="\0"), max_size=12)
@@ -215,4 +215,4 @@
     for _ in range(100_000):
         decoder.feed(small)
         assert decoder.next() is not None
-    assert len(decoder.buffer) <= BUFFER_KEPT
+    assert len(decoder.buffer) <= MAX_CONSUMED_BYTES
--- a/tests/test_pg_pool.py
+++ b/tests/test_pg_pool.py
@@ -34,18 +34,18 @@
 
 
 def test_statements_are_bounded_and_names_are_never_used_again(monkeypatch):
-    monkeypatch.setattr(pool, "STATEMENTS_MOST", 3)
+    monkeypatch.setattr(pool, "MAX_PREPARED_STATEMENTS", 3)
     one = ServerSession(1)
     names = [one.prepare(f"select {n}") for n in range(3)]
-    assert one.has("select 0") == names[0][0]
+    assert one.prepared_name("select 0") == names[0][0]
     name, old = one.prepare("select 9")
     assert (
         old == names[1][0]
         and name not in [each for each, _ in names]
-        and one.has("select 1") is None
+        and one.prepared_name("select 1") is None
     )
-    one.unprepared("select 9")
-    assert one.has("select 9") is None and one.prepare("select 9")[0] != name
+    one.forget_statement("select 9")
+    assert one.prepared_name("select 9") is None and one.prepare("select 9")[0] != name
 
 
 def test_a_drain_closes_what_is_idle_and_the_others_when_they_are_over():
--- a/tests/test_pg_server.py
+++ b/tests/test_pg_server.py
@@ -13,7 +13,7 @@
 from umberusher.pg.codec import Decoder, message
 from umberusher.pg.messages import Side
 from umberusher.pg.pool import Cleaning, Pool
-from umberusher.pg.server import Broken, Pass, Reach, Ready, ServerLink
+from umberusher.pg.server import Broken, ClientData, GroupProgress, Ready, ServerLink
 from umberusher.pg.session import Ask, End, FrontSession, Login, More, Write
 from umberusher.standin.pg_server import ModelServer
 
@@ -37,7 +37,7 @@
         if found is None:
             found = self.pool.open()
             server, link = ModelServer(self.ran), ServerLink(found, {"user": "u"})
-            assert link.feed(server.feed(link.hello)) == [Ready("I")]
+            assert link.feed(server.feed(link.startup_message)) == [Ready("I")]
             self.servers[found], self.links[found] = server, link
             self.pool.up(found)
             return self.session()
@@ -63,18 +63,18 @@
         if not parts:
             return
         sent = link.send(parts, self.front.statements)
-        link.written(parts[-1].name in ("Sync", "Query"))
+        link.mark_written(parts[-1].name in ("Sync", "Query"))
         for each in link.feed(self.servers[link.session].feed(sent)):
-            if isinstance(each, Pass):
+            if isinstance(each, ClientData):
                 self.got += each.data
-                if each.found and each.found.name != "ReadyForQuery":
-                    self.front.passed(each.found)
+                if each.message and each.message.name != "ReadyForQuery":
+                    self.front.record_forwarded(each.message)
             elif isinstance(each, Ready):
                 assert self.pool.ready(link.session, each.state, not self.over) in (
                     Cleaning.NOTHING,
                     Cleaning.ROLLBACK,
                 )
-                self.front.passed(message_of("ReadyForQuery", state=each.state))
+                self.front.record_forwarded(message_of("ReadyForQuery", state=each.state))
             else:
                 raise AssertionError(each)
 
@@ -195,7 +195,7 @@
 
 
 def test_statements_that_were_put_out_are_prepared_again(monkeypatch):
-    monkeypatch.setattr(pool, "STATEMENTS_MOST", 4)
+    monkeypatch.setattr(pool, "MAX_PREPARED_STATEMENTS", 4)
     path = Path(Pool(1), Counter(), {}, {})
     for number in range(30):
         path.feed(parse(f"rows {number}", f"s{number}") + SYNC)
@@ -217,12 +217,14 @@
     link = path.links[session]
     path.front.feed(parse("load") + bind() + EXECUTE + FLUSH)
     link.send(path.front.more(), {})
-    link.written(False)
-    assert link.reach is Reach.PARTLY and not link.may_have_run  # no Sync: the server rolls it back
+    link.mark_written(False)
+    assert (
+        link.progress is GroupProgress.PARTLY_SENT and not link.may_have_run
+    )  # no Sync: the server rolls it back
     path.front.feed(SYNC)
     link.send(path.front.more(), {})
     assert not link.may_have_run
-    link.written(True)
+    link.mark_written(True)
     assert link.may_have_run
 
 
--- a/tests/test_pg_session.py
+++ b/tests/test_pg_session.py
@@ -12,16 +12,16 @@
 from umberusher.pg.codec import Decoder, message
 from umberusher.pg.messages import Side
 from umberusher.pg.session import (
-    GROUPS_MOST,
+    MAX_GROUPS,
     Answered,
     Ask,
+    AuthenticationResponse,
     Cancel,
     Encrypt,
     End,
     FrontSession,
     Login,
     More,
-    Proof,
     State,
     Write,
 )
@@ -80,9 +80,9 @@
     decoder = Decoder(Side.BACK)
     for name in names:
         decoder.feed(message(Side.BACK, name, **values.get(name, {})))
-        found.passed(decoder.next())
+        found.record_forwarded(decoder.next())
     decoder.feed(message(Side.BACK, "ReadyForQuery", state=state))
-    found.passed(decoder.next())
+    found.record_forwarded(decoder.next())
 
 
 # -- The start
@@ -139,7 +139,9 @@
     found.challenge(10, b"SCRAM-SHA-256\0\0")
     found.feed(front("Password", data=b"proof"))
     made = events(found)
-    assert written(made) == [("Authentication", "")] and made[-1] == Proof(b"proof")
+    assert written(made) == [("Authentication", "")] and made[-1] == AuthenticationResponse(
+        b"proof"
+    )
     found.reject()
     made = events(found)
     assert written(made) == [("ErrorResponse", "28P01")] and isinstance(made[-1], End)
@@ -215,11 +217,11 @@
 
 def test_a_client_with_too_many_groups_is_read_no_more_until_some_are_over():
     found = ready()
-    found.feed(front("Query", text="select 1") * (GROUPS_MOST + 9))
-    assert found.paused and len(found.groups) == GROUPS_MOST and found.decoder.waiting
-    for _ in range(GROUPS_MOST + 9):
+    found.feed(front("Query", text="select 1") * (MAX_GROUPS + 9))
+    assert found.paused and len(found.groups) == MAX_GROUPS and found.decoder.unread_bytes
+    for _ in range(MAX_GROUPS + 9):
         served(found, "CommandComplete")
-    assert not found.paused and not found.groups and not found.decoder.waiting
+    assert not found.paused and not found.groups and not found.decoder.unread_bytes
 
 
 def test_a_sync_alone_is_answered_here_with_the_state_of_the_transaction():
@@ -235,9 +237,9 @@
     "answered, code, hint",
     [
         (Answered.REFUSED, "53300", "never ran; retry after 250 ms"),
-        (Answered.FAILED_DOUBT, "08007", "may have run"),
+        (Answered.FAILED_MAY_HAVE_RUN, "08007", "may have run"),
         (Answered.EXPIRED, "57014", "never ran"),
-        (Answered.EXPIRED_DOUBT, "57014", "may have run"),
+        (Answered.EXPIRED_MAY_HAVE_RUN, "57014", "may have run"),
     ],
 )
 def test_an_answer_that_is_no_server_s_tells_never_ran_from_may_have_run(answered, code, hint):
@@ -279,7 +281,7 @@
 
 
 def test_statements_are_bounded_replaced_and_closed(monkeypatch):
-    monkeypatch.setattr(session, "STATEMENTS_MOST", 3)
+    monkeypatch.setattr(session, "MAX_PREPARED_STATEMENTS", 3)
     found = ready()
     for name in ("a", "b", "c", "a"):
         found.feed(parse(name=name) + SYNC)
@@ -301,7 +303,7 @@
 
 
 def test_a_group_without_a_sync_is_bounded(monkeypatch):
-    monkeypatch.setattr(session, "GROUP_BYTES_MOST", 1_000)
+    monkeypatch.setattr(session, "MAX_GROUP_BYTES", 1_000)
     found = ready()
     found.feed(parse("x" * 300) * 4)
     assert written(events(found)) == [("ErrorResponse", "54000")] and not found.groups[0].parts
--- a/umberusher/pg/codec.py
+++ b/umberusher/pg/codec.py
@@ -13,10 +13,10 @@
 from typing import Any, NamedTuple
 
 from umberusher.pg import messages
-from umberusher.pg.messages import BY_CODE, BY_NAME, Kind, Side
+from umberusher.pg.messages import BY_CODE, BY_NAME, MessageType, Side
 
-COUNT_MOST = 65_535
-BUFFER_KEPT = 1 << 16  # bytes of what was read that may stay before they are given back
+MAX_LIST_ITEMS = 65_535
+MAX_CONSUMED_BYTES = 1 << 16  # bytes of what was read that may stay before they are given back
 
 
 class Message(NamedTuple):
@@ -50,136 +50,139 @@
     """Reads fields out of one body."""
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data, self.offset = data, 0
 
-    def take(self, size: int) -> bytes:
-        if size < 0 or self.at + size > len(self.data):
+    def read_bytes(self, size: int) -> bytes:
+        if size < 0 or self.offset + size > len(self.data):
             raise _BadError("is cut short")
-        self.at += size
-        return self.data[self.at - size : self.at]
+        self.offset += size
+        return self.data[self.offset - size : self.offset]
 
-    def number(self, form: str, size: int) -> int:
-        return struct.unpack(form, self.take(size))[0]
+    def read_number(self, number_format: str, size: int) -> int:
+        return struct.unpack(number_format, self.read_bytes(size))[0]
 
-    def text(self) -> str:
-        end = self.data.find(b"\0", self.at)
+    def read_text(self) -> str:
+        end = self.data.find(b"\0", self.offset)
         if end < 0:
             raise _BadError("has a text without an end")
-        raw, self.at = self.data[self.at : end], end + 1
+        raw, self.offset = self.data[self.offset : end], end + 1
         try:
             return raw.decode("utf-8")
         except UnicodeDecodeError:
             raise _BadError("has a text that is not UTF-8") from None
 
-    def value(self) -> bytes | None:
-        size = self.number(">i", 4)
+    def read_value(self) -> bytes | None:
+        size = self.read_number(">i", 4)
         if size < -1:
             raise _BadError(f"has a value of {size} bytes")
-        return None if size == -1 else self.take(size)
+        return None if size == -1 else self.read_bytes(size)
 
-    def pairs(self) -> dict[str, str]:
+    def read_coded_texts(self) -> dict[str, str]:
         found: dict[str, str] = {}
-        while (code := self.take(1)) != b"\0":
-            found[code.decode("latin-1")] = self.text()
+        while (code := self.read_bytes(1)) != b"\0":
+            found[code.decode("latin-1")] = self.read_text()
         return found
 
-    def options(self) -> dict[str, str]:
+    def read_options(self) -> dict[str, str]:
         found: dict[str, str] = {}
-        while name := self.text():
-            found[name] = self.text()
+        while name := self.read_text():
+            found[name] = self.read_text()
         return found
 
-    def columns(self) -> list[tuple[str, int, int, int, int, int, int]]:
+    def read_columns(self) -> list[tuple[str, int, int, int, int, int, int]]:
         return [
-            (self.text(), *struct.unpack(">IhIhih", self.take(18)))
-            for _ in range(self.number(">H", 2))
+            (self.read_text(), *struct.unpack(">IhIhih", self.read_bytes(18)))
+            for _ in range(self.read_number(">H", 2))
         ]
 
-    def rest(self) -> bytes:
-        return self.take(len(self.data) - self.at)
-
-
-_READ: dict[str, Callable[[_Reader], Any]] = {
-    "i8": lambda r: r.number(">b", 1),
-    "i16": lambda r: r.number(">h", 2),
-    "i32": lambda r: r.number(">i", 4),
-    "u32": lambda r: r.number(">I", 4),
-    "str": _Reader.text,
-    "byte": lambda r: r.take(1).decode("latin-1"),
-    "rest": _Reader.rest,
-    "bytes32": _Reader.value,
-    "strs": _Reader.options,
-    "fields": _Reader.pairs,
-    "columns": _Reader.columns,
+    def read_remaining(self) -> bytes:
+        return self.read_bytes(len(self.data) - self.offset)
+
+
+_FIELD_READERS: dict[str, Callable[[_Reader], Any]] = {
+    "i8": lambda r: r.read_number(">b", 1),
+    "i16": lambda r: r.read_number(">h", 2),
+    "i32": lambda r: r.read_number(">i", 4),
+    "u32": lambda r: r.read_number(">I", 4),
+    "str": _Reader.read_text,
+    "byte": lambda r: r.read_bytes(1).decode("latin-1"),
+    "rest": _Reader.read_remaining,
+    "bytes32": _Reader.read_value,
+    "strs": _Reader.read_options,
+    "fields": _Reader.read_coded_texts,
+    "columns": _Reader.read_columns,
 }
 
 
-def _text(value: str) -> bytes:
+def _encode_text(value: str) -> bytes:
     raw = value.encode("utf-8")
     if b"\0" in raw:
         raise ValueError("a text can't hold a zero byte")
     return raw + b"\0"
 
 
-def _value(value: bytes | None) -> bytes:
+def _encode_value(value: bytes | None) -> bytes:
     return struct.pack(">i", -1) if value is None else struct.pack(">i", len(value)) + value
 
 
-_WRITE: dict[str, Callable[[Any], bytes]] = {
+_FIELD_WRITERS: dict[str, Callable[[Any], bytes]] = {
     "i8": lambda v: struct.pack(">b", v),
     "i16": lambda v: struct.pack(">h", v),
     "i32": lambda v: struct.pack(">i", v),
     "u32": lambda v: struct.pack(">I", v),
-    "str": _text,
+    "str": _encode_text,
     "byte": lambda v: v.encode("latin-1"),
     "rest": bytes,
-    "bytes32": _value,
-    "strs": lambda v: b"".join(_text(name) + _text(each) for name, each in v.items()) + b"\0",
-    "fields": lambda v: b"".join(code.encode("latin-1") + _text(each) for code, each in v.items())
+    "bytes32": _encode_value,
+    "strs": lambda v: b"".join(_encode_text(name) + _encode_text(each) for name, each in v.items())
+    + b"\0",
+    "fields": lambda v: b"".join(
+        code.encode("latin-1") + _encode_text(each) for code, each in v.items()
+    )
     + b"\0",
     "columns": lambda v: struct.pack(">H", len(v))
-    + b"".join(_text(name) + struct.pack(">IhIhih", *more) for name, *more in v),
+    + b"".join(_encode_text(name) + struct.pack(">IhIhih", *more) for name, *more in v),
 }
 
 
-def _read(kind: str, reader: _Reader) -> Any:
+def _read_field(kind: str, reader: _Reader) -> Any:
     if kind.startswith("list"):
         head, _, inner = kind.partition(":")
-        count = reader.number(">H", 2) if head == "list16" else reader.number(">i", 4)
-        if not 0 <= count <= COUNT_MOST:
+        count = reader.read_number(">H", 2) if head == "list16" else reader.read_number(">i", 4)
+        if not 0 <= count <= MAX_LIST_ITEMS:
             raise _BadError(f"has a list of {count}")
-        return [_READ[inner](reader) for _ in range(count)]
-    return _READ[kind](reader)
+        return [_FIELD_READERS[inner](reader) for _ in range(count)]
+    return _FIELD_READERS[kind](reader)
 
 
-def _write(kind: str, value: Any) -> bytes:
+def _write_field(kind: str, value: Any) -> bytes:
     if kind.startswith("list"):
         head, _, inner = kind.partition(":")
         return struct.pack(">H" if head == "list16" else ">i", len(value)) + b"".join(
-            map(_WRITE[inner], value)
+            map(_FIELD_WRITERS[inner], value)
         )
-    return _WRITE[kind](value)
+    return _FIELD_WRITERS[kind](value)
 
 
-def fields(kind: Kind, body: bytes) -> dict[str, Any] | str:
+def decode_fields(message_type: MessageType, body: bytes) -> dict[str, Any] | str:
     """A body's fields; a text that tells what is wrong with it."""
     reader = _Reader(body)
     try:
-        found = {name: _read(each, reader) for name, each in kind.fields}
+        found = {name: _read_field(kind, reader) for name, kind in message_type.fields}
     except _BadError as error:
-        return f"{kind.name} {error}"
-    if reader.at != len(body):
-        return f"{kind.name} has {len(body) - reader.at} bytes too many"
+        return f"{message_type.name} {error}"
+    if reader.offset != len(body):
+        return f"{message_type.name} has {len(body) - reader.offset} bytes too many"
     return found
 
 
 def message(side: Side, name: str, /, **values: Any) -> bytes:
     """A message's bytes; ValueError, KeyError or struct.error where the values are not of its kind."""
-    kind = BY_NAME[side][name]
-    body = b"".join(_write(each, values[field]) for field, each in kind.fields)
-    if len(body) > kind.most:
-        raise ValueError(f"{name} of {len(body)} bytes; at most {kind.most}")
-    return kind.code + struct.pack(">i", len(body) + 4) + body
+    message_type = BY_NAME[side][name]
+    body = b"".join(_write_field(kind, values[field]) for field, kind in message_type.fields)
+    if len(body) > message_type.max_body_bytes:
+        raise ValueError(f"{name} of {len(body)} bytes; at most {message_type.max_body_bytes}")
+    return message_type.code + struct.pack(">i", len(body) + 4) + body
 
 
 class Decoder:
@@ -192,89 +195,97 @@
     def __init__(self, side: Side, starting: bool = False) -> None:
         self.side, self.starting = side, starting
         self.buffer = bytearray()
-        self.at = 0  # read up to here
-        self.dead: Unreadable | None = None
-        self.passing: tuple[Kind, int] | None = None  # a streamed message, and what is left of it
+        self.offset = 0  # read up to here
+        self.failure: Unreadable | None = None
+        self.streamed_remainder: tuple[MessageType, int] | None = (
+            None  # a streamed message, and what is left of it
+        )
 
     def feed(self, data: bytes) -> None:
         """Take bytes."""
-        if self.dead is None:
+        if self.failure is None:
             self.buffer += data
 
     @property
-    def waiting(self) -> int:
+    def unread_bytes(self) -> int:
         """Bytes that are not read yet."""
-        return len(self.buffer) - self.at
+        return len(self.buffer) - self.offset
 
     def finish_startup(self) -> None:
         """The start-up is over: from here on each message has its type."""
         self.starting = False
 
-    def _die(self, reason: str) -> Unreadable:
-        self.dead = Unreadable(reason)
+    def _fail(self, reason: str) -> Unreadable:
+        self.failure = Unreadable(reason)
         self.buffer.clear()
-        self.at = 0
-        return self.dead
+        self.offset = 0
+        return self.failure
 
-    def _cut(self, size: int) -> bytes:
+    def _consume(self, size: int) -> bytes:
         """Read on; gives back the room of what was read now and then, not for each message."""
-        raw = bytes(memoryview(self.buffer)[self.at : self.at + size])
-        self.at += size
-        if self.at >= BUFFER_KEPT or self.at == len(self.buffer):
-            del self.buffer[: self.at]
-            self.at = 0
+        raw = bytes(memoryview(self.buffer)[self.offset : self.offset + size])
+        self.offset += size
+        if self.offset >= MAX_CONSUMED_BYTES or self.offset == len(self.buffer):
+            del self.buffer[: self.offset]
+            self.offset = 0
         return raw
 
     def next(self, stream: bool = False) -> Message | Piece | Unreadable | None:
         """The next message; None while more bytes are needed. With ``stream`` rows come as pieces, as they are."""
-        if self.dead is not None:
-            return self.dead
-        if self.passing is not None:
-            return self._pass()
+        if self.failure is not None:
+            return self.failure
+        if self.streamed_remainder is not None:
+            return self._next_piece()
         head = 4 if self.starting else 5
-        if self.waiting < head:
+        if self.unread_bytes < head:
             return None
-        code = b"" if self.starting else bytes(self.buffer[self.at : self.at + 1])
-        size = struct.unpack_from(">i", self.buffer, self.at + head - 4)[0] - 4
+        code = b"" if self.starting else bytes(self.buffer[self.offset : self.offset + 1])
+        size = struct.unpack_from(">i", self.buffer, self.offset + head - 4)[0] - 4
         if self.starting:
-            return self._first(size)
-        kind = BY_CODE[self.side].get(code)
-        if kind is None:
-            return self._die(f"no message of type {code!r}")
-        if not 0 <= size <= kind.most:
-            return self._die(f"{kind.name} of {size + 4} bytes; at most {kind.most + 4}")
-        if stream and kind.streamed:
-            self.passing = kind, size + 5
-            return self._pass()
-        if self.waiting < size + 5:
+            return self._next_startup_message(size)
+        message_type = BY_CODE[self.side].get(code)
+        if message_type is None:
+            return self._fail(f"no message of type {code!r}")
+        if not 0 <= size <= message_type.max_body_bytes:
+            return self._fail(
+                f"{message_type.name} of {size + 4} bytes; at most {message_type.max_body_bytes + 4}"
+            )
+        if stream and message_type.streamed:
+            self.streamed_remainder = message_type, size + 5
+            return self._next_piece()
+        if self.unread_bytes < size + 5:
             return None
-        raw = self._cut(size + 5)
-        found = fields(kind, raw[5:])
-        return self._die(found) if isinstance(found, str) else Message(kind.name, found, raw)
+        raw = self._consume(size + 5)
+        found = decode_fields(message_type, raw[5:])
+        return (
+            self._fail(found) if isinstance(found, str) else Message(message_type.name, found, raw)
+        )
 
-    def _pass(self) -> Piece | None:
-        kind, left = self.passing
-        size = min(left, self.waiting)
+    def _next_piece(self) -> Piece | None:
+        message_type, remaining = self.streamed_remainder
+        size = min(remaining, self.unread_bytes)
         if not size:
             return None
-        self.passing = (kind, left - size) if left > size else None
-        return Piece(kind.name, self._cut(size), self.passing is None)
+        self.streamed_remainder = (message_type, remaining - size) if remaining > size else None
+        return Piece(message_type.name, self._consume(size), self.streamed_remainder is None)
 
-    def _first(self, size: int) -> Message | Unreadable | None:
-        if not 4 <= size <= messages.STARTUP_MOST:
-            return self._die(f"a start-up packet of {size + 4} bytes")
-        if self.waiting < 8:
+    def _next_startup_message(self, size: int) -> Message | Unreadable | None:
+        if not 4 <= size <= messages.MAX_STARTUP_BYTES:
+            return self._fail(f"a start-up packet of {size + 4} bytes")
+        if self.unread_bytes < 8:
             return None
-        number = struct.unpack_from(">I", self.buffer, self.at + 4)[0]
-        kind = {
+        number = struct.unpack_from(">I", self.buffer, self.offset + 4)[0]
+        message_type = {
             messages.SSL_REQUEST: messages.SSL,
             messages.GSS_REQUEST: messages.GSS,
             messages.CANCEL_REQUEST: messages.CANCEL,
         }.get(number, messages.STARTUP)
-        if size > kind.most:
-            return self._die(f"{kind.name} of {size + 4} bytes")
-        if self.waiting < size + 4:
+        if size > message_type.max_body_bytes:
+            return self._fail(f"{message_type.name} of {size + 4} bytes")
+        if self.unread_bytes < size + 4:
             return None
-        raw = self._cut(size + 4)
-        found = fields(kind, raw[4:])
-        return self._die(found) if isinstance(found, str) else Message(kind.name, found, raw)
+        raw = self._consume(size + 4)
+        found = decode_fields(message_type, raw[4:])
+        return (
+            self._fail(found) if isinstance(found, str) else Message(message_type.name, found, raw)
+        )
--- a/umberusher/pg/messages.py
+++ b/umberusher/pg/messages.py
@@ -22,8 +22,8 @@
 from enum import Enum
 
 KIB, MIB = 1 << 10, 1 << 20
-SMALL = 16 * KIB
-STARTUP_MOST = 10_000  # as servers hold it; a longer one is no start-up
+DEFAULT_MAX_BODY_BYTES = 16 * KIB
+MAX_STARTUP_BYTES = 10_000  # as servers hold it; a longer one is no start-up
 PROTOCOL_3_0 = 196_608
 SSL_REQUEST, GSS_REQUEST, CANCEL_REQUEST = 80_877_103, 80_877_104, 80_877_102
 
@@ -36,28 +36,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
+class MessageType:
     """One type of message."""
 
     name: str
     code: bytes  # empty for those without a type byte
     side: Side
     fields: tuple[tuple[str, str], ...] = ()
-    most: int = SMALL  # bytes of its body
+    max_body_bytes: int = DEFAULT_MAX_BODY_BYTES  # bytes of its body
     streamed: bool = False  # may pass through in pieces
 
 
-def _kind(
-    name: str, code: bytes, side: Side, fields: str = "", most: int = SMALL, streamed: bool = False
-) -> Kind:
+def _message_type(
+    name: str,
+    code: bytes,
+    side: Side,
+    fields: str = "",
+    max_body_bytes: int = DEFAULT_MAX_BODY_BYTES,
+    streamed: bool = False,
+) -> MessageType:
     pairs = tuple(
         (name, kind) for name, _, kind in (each.partition("=") for each in fields.split())
     )
-    return Kind(name, code, side, pairs, most, streamed)
+    return MessageType(name, code, side, pairs, max_body_bytes, streamed)
 
 
 FRONT = tuple(
-    _kind(name, code, Side.FRONT, *more)
+    _message_type(name, code, Side.FRONT, *more)
     for name, code, *more in (
         (
             "Bind",
@@ -82,7 +87,7 @@
 )
 
 BACK = tuple(
-    _kind(name, code, Side.BACK, *more)
+    _message_type(name, code, Side.BACK, *more)
     for name, code, *more in (
         ("Authentication", b"R", "code=i32 data=rest", 64 * KIB),
         ("BackendKeyData", b"K", "pid=i32 secret=rest", 260),
@@ -112,16 +117,18 @@
 )
 
 # Without a type byte, told apart by the number behind their length.
-STARTUP = _kind("StartupMessage", b"", Side.FRONT, "version=u32 options=strs", STARTUP_MOST)
-CANCEL = _kind("CancelRequest", b"", Side.FRONT, "number=u32 pid=i32 secret=rest", 268)
-SSL = _kind("SSLRequest", b"", Side.FRONT, "number=u32", 4)
-GSS = _kind("GSSENCRequest", b"", Side.FRONT, "number=u32", 4)
+STARTUP = _message_type(
+    "StartupMessage", b"", Side.FRONT, "version=u32 options=strs", MAX_STARTUP_BYTES
+)
+CANCEL = _message_type("CancelRequest", b"", Side.FRONT, "number=u32 pid=i32 secret=rest", 268)
+SSL = _message_type("SSLRequest", b"", Side.FRONT, "number=u32", 4)
+GSS = _message_type("GSSENCRequest", b"", Side.FRONT, "number=u32", 4)
 
 BY_CODE = {
-    Side.FRONT: {kind.code: kind for kind in FRONT},
-    Side.BACK: {kind.code: kind for kind in BACK},
+    Side.FRONT: {each.code: each for each in FRONT},
+    Side.BACK: {each.code: each for each in BACK},
 }
 BY_NAME = {
-    Side.FRONT: {kind.name: kind for kind in (*FRONT, STARTUP, CANCEL, SSL, GSS)},
-    Side.BACK: {kind.name: kind for kind in BACK},
+    Side.FRONT: {each.name: each for each in (*FRONT, STARTUP, CANCEL, SSL, GSS)},
+    Side.BACK: {each.name: each for each in BACK},
 }
--- a/umberusher/pg/pool.py
+++ b/umberusher/pg/pool.py
@@ -1,4 +1,4 @@
-"""Which server session a group goes to: a transaction pins one, and prepared statements are made where they lack.
+"""Which server session a group goes to: a transaction pins one, and prepared statements are cleanings where they lack.
 
 Owns the pool of one node's sessions and what is known of each: the transaction it is in, the statements it has,
 whether it is clean. Decisions only; connections belong to the back.
@@ -14,13 +14,13 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-STATEMENTS_MOST = (
+MAX_PREPARED_STATEMENTS = (
     512  # prepared on one server session; the one used longest ago is closed for the next
 )
-SERVED_MOST = (
+MAX_SERVED_GROUPS = (
     50_000  # groups, after which a session is closed when it is idle: servers' memory creeps
 )
-CLEAN = "DISCARD ALL"
+DISCARD_ALL = "DISCARD ALL"
 
 Client = TypeVar("Client")
 
@@ -40,8 +40,8 @@
     """What a session needs before it may serve another client."""
 
     NOTHING = "nothing"
-    ROLLBACK = "ROLLBACK; " + CLEAN
-    DISCARD = CLEAN
+    ROLLBACK = "ROLLBACK; " + DISCARD_ALL
+    DISCARD = DISCARD_ALL
     CLOSE = "close"  # nobody knows what state it is in
 
 
@@ -52,33 +52,35 @@
     number: int
     standing: Standing = Standing.STARTING
     owner: Client | None = None
-    served: int = 0
+    served_groups: int = 0
     touched: bool = False  # something was set that lasts beyond a transaction
     statements: OrderedDict[str, str] = field(
         default_factory=OrderedDict
     )  # by text, the broker's name for it
-    names: int = 0  # ever given: a name is never used again, so a late Close can't hit another's
+    last_name_number: int = (
+        0  # ever given: a name is never used again, so a late Close can't hit another's
+    )
 
-    def has(self, text: str) -> str | None:
+    def prepared_name(self, statement_key: str) -> str | None:
         """The name under which a text is prepared here; it counts as used."""
-        name = self.statements.get(text)
+        name = self.statements.get(statement_key)
         if name is not None:
-            self.statements.move_to_end(text)
+            self.statements.move_to_end(statement_key)
         return name
 
-    def prepare(self, text: str) -> tuple[str, str | None]:
+    def prepare(self, statement_key: str) -> tuple[str, str | None]:
         """A name for a text that is to be prepared, and the name that is to be closed for it, if any."""
-        old = None
-        if len(self.statements) >= STATEMENTS_MOST:
-            old = self.statements.popitem(last=False)[1]
-        self.names += 1
-        name = f"u{self.names}"
-        self.statements[text] = name
-        return name, old
-
-    def unprepared(self, text: str) -> None:
+        evicted = None
+        if len(self.statements) >= MAX_PREPARED_STATEMENTS:
+            evicted = self.statements.popitem(last=False)[1]
+        self.last_name_number += 1
+        name = f"u{self.last_name_number}"
+        self.statements[statement_key] = name
+        return name, evicted
+
+    def forget_statement(self, statement_key: str) -> None:
         """The server did not take it."""
-        self.statements.pop(text, None)
+        self.statements.pop(statement_key, None)
 
 
 class Pool(Generic[Client]):
@@ -87,10 +89,12 @@
     def __init__(self, most: int) -> None:
         self.most = most
         self.sessions: dict[int, ServerSession[Client]] = {}
-        self.count = 0
-        self.closing = False  # the node drains: nothing new, and what is idle closes
+        self.last_number = 0
+        self.draining = False  # the node drains: nothing new, and what is idle closes
 
-    def take(self, client: Client, texts: tuple[str, ...] = ()) -> ServerSession[Client] | None:
+    def take(
+        self, client: Client, statement_keys: tuple[str, ...] = ()
+    ) -> ServerSession[Client] | None:
         """A session for a group: the client's own where it is pinned, else an idle one, best with its statements there.
 
         None where one has to be opened, or the pool is full.
@@ -99,13 +103,17 @@
             if each.standing is Standing.PINNED and each.owner is client:
                 each.standing = Standing.BUSY
                 return each
-        if self.closing:
+        if self.draining:
             return None
         idle = [each for each in self.sessions.values() if each.standing is Standing.IDLE]
         if not idle:
             return None
         best = max(
-            idle, key=lambda each: (sum(text in each.statements for text in texts), each.served)
+            idle,
+            key=lambda each: (
+                sum(key in each.statements for key in statement_keys),
+                each.served_groups,
+            ),
         )
         best.standing, best.owner = Standing.BUSY, client
         return best
@@ -113,49 +121,49 @@
     @property
     def full(self) -> bool:
         """Whether no further session may be opened."""
-        return self.closing or len(self.sessions) >= self.most
+        return self.draining or len(self.sessions) >= self.most
 
     def open(self) -> ServerSession[Client]:
         """A session that comes up."""
-        self.count += 1
-        made = self.sessions[self.count] = ServerSession(self.count)
-        return made
+        self.last_number += 1
+        session = self.sessions[self.last_number] = ServerSession(self.last_number)
+        return session
 
-    def up(self, found: ServerSession[Client]) -> None:
+    def up(self, session: ServerSession[Client]) -> None:
         """It is there, clean."""
-        if found.standing is Standing.STARTING:
-            found.standing = Standing.IDLE
+        if session.standing is Standing.STARTING:
+            session.standing = Standing.IDLE
 
-    def ready(self, found: ServerSession[Client], state: str, wanted: bool) -> Cleaning:
-        """Its server is ready, with the transaction's state; ``wanted`` where its client is still there.
+    def ready(self, session: ServerSession[Client], state: str, client_connected: bool) -> Cleaning:
+        """Its server is ready, with the transaction's state; ``client_connected`` where its client is still there.
 
         What it needs before it may serve another. One in a transaction stays its owner's; where the owner has left it
         is rolled back, and only then given out.
         """
-        found.served += 1
-        if state != "I" and wanted:
-            found.standing = Standing.PINNED
+        session.served_groups += 1
+        if state != "I" and client_connected:
+            session.standing = Standing.PINNED
             return Cleaning.NOTHING
         if state != "I":
-            found.standing = Standing.UNCLEAN
-            found.statements.clear()
+            session.standing = Standing.UNCLEAN
+            session.statements.clear()
             return Cleaning.ROLLBACK
-        if found.touched:
-            found.standing = Standing.UNCLEAN
-            found.statements.clear()  # DISCARD ALL takes prepared statements with it
+        if session.touched:
+            session.standing = Standing.UNCLEAN
+            session.statements.clear()  # DISCARD ALL takes prepared statements with it
             return Cleaning.DISCARD
-        if self.closing or found.served >= SERVED_MOST:
-            self.closed(found)
+        if self.draining or session.served_groups >= MAX_SERVED_GROUPS:
+            self.remove(session)
             return Cleaning.CLOSE
-        found.standing, found.owner = Standing.IDLE, None
+        session.standing, session.owner = Standing.IDLE, None
         return Cleaning.NOTHING
 
-    def cleaned(self, found: ServerSession[Client], state: str) -> Cleaning:
+    def cleaned(self, session: ServerSession[Client], state: str) -> Cleaning:
         """The answer to cleaning: only a session that is out of any transaction is clean."""
-        if state != "I" or self.closing:
-            self.closed(found)
+        if state != "I" or self.draining:
+            self.remove(session)
             return Cleaning.CLOSE
-        found.touched, found.standing, found.owner = False, Standing.IDLE, None
+        session.touched, session.standing, session.owner = False, Standing.IDLE, None
         return Cleaning.NOTHING
 
     def left(self, client: Client) -> list[tuple[ServerSession[Client], Cleaning]]:
@@ -163,30 +171,30 @@
 
         What runs there goes on unheard, as an engine's does; the session must not be given out meanwhile.
         """
-        made = []
+        cleanings = []
         for each in [each for each in self.sessions.values() if each.owner is client]:
             if each.standing is Standing.PINNED:
                 each.standing = Standing.UNCLEAN
                 each.statements.clear()
-                made.append((each, Cleaning.ROLLBACK))
+                cleanings.append((each, Cleaning.ROLLBACK))
             elif each.standing is Standing.BUSY:
-                self.closed(each)
-                made.append((each, Cleaning.CLOSE))
-        return made
+                self.remove(each)
+                cleanings.append((each, Cleaning.CLOSE))
+        return cleanings
 
     def drain(self) -> list[ServerSession[Client]]:
         """The node takes nothing new: idle sessions close now, the others when they are over."""
-        self.closing = True
+        self.draining = True
         idle = [
             each
             for each in self.sessions.values()
             if each.standing in (Standing.IDLE, Standing.STARTING)
         ]
         for each in idle:
-            self.closed(each)
+            self.remove(each)
         return idle
 
-    def closed(self, found: ServerSession[Client]) -> None:
+    def remove(self, session: ServerSession[Client]) -> None:
         """It is no more."""
-        found.standing, found.owner = Standing.CLOSED, None
-        self.sessions.pop(found.number, None)
+        session.standing, session.owner = Standing.CLOSED, None
+        self.sessions.pop(session.number, None)
--- a/umberusher/pg/server.py
+++ b/umberusher/pg/server.py
@@ -21,8 +21,8 @@
 from umberusher.pg.messages import Side
 from umberusher.pg.pool import ServerSession
 
-ANY_TIME = frozenset(["NoticeResponse", "ParameterStatus", "NotificationResponse"])
-ENDS = {
+ASYNCHRONOUS_MESSAGES = frozenset(["NoticeResponse", "ParameterStatus", "NotificationResponse"])
+FINAL_RESPONSES = {
     "Parse": ("ParseComplete",),
     "Bind": ("BindComplete",),
     "Close": ("CloseComplete",),
@@ -31,7 +31,7 @@
     "Sync": ("ReadyForQuery",),
     "Query": ("ReadyForQuery",),
 }
-INSIDE = {
+INTERMEDIATE_RESPONSES = {
     "Describe": ("ParameterDescription",),
     "Execute": ("DataRow",),
     "Query": (
@@ -42,16 +42,16 @@
         "ErrorResponse",
     ),
 }
-COPY = frozenset(["CopyInResponse", "CopyOutResponse", "CopyBothResponse"])
+COPY_RESPONSES = frozenset(["CopyInResponse", "CopyOutResponse", "CopyBothResponse"])
 
 
-class Reach(IntEnum):
+class GroupProgress(IntEnum):
     """How far a group had come."""
 
-    NOTHING = 0
-    PARTLY = 1  # sent, without its end
-    WHOLE = 2  # its Sync or Query is with the kernel
-    ANSWERED = 3
+    NOT_SENT = 0
+    PARTLY_SENT = 1  # sent, without its end
+    FULLY_SENT = 2  # its Sync or Query is with the kernel
+    RESPONSE_STARTED = 3
 
 
 class Phase(Enum):
@@ -64,21 +64,21 @@
 
 
 @dataclass(slots=True)
-class Due:
+class ExpectedResponse:
     """What is to come for one message that was sent, or ``made`` here in its place."""
 
-    what: str
-    swallow: bool = False
-    made: bytes = b""
-    text: str | None = None  # that a Parse of the broker's own prepares
+    request: str
+    discard: bool = False
+    local_response: bytes = b""
+    statement_key: str | None = None  # that a Parse of the broker's own prepares
 
 
 @dataclass(slots=True, frozen=True)
-class Pass:
+class ClientData:
     """Bytes for the client; ``found`` is the message where it is whole."""
 
     data: bytes
-    found: Message | None = None
+    message: Message | None = None
 
 
 @dataclass(slots=True, frozen=True)
@@ -101,13 +101,15 @@
     def __init__(self, session: ServerSession, options: Mapping[str, str]) -> None:
         self.session, self.phase = session, Phase.STARTING
         self.decoder = Decoder(Side.BACK)
-        self.hello = message(Side.FRONT, "StartupMessage", version=196_608, options=dict(options))
+        self.startup_message = message(
+            Side.FRONT, "StartupMessage", version=196_608, options=dict(options)
+        )
         self.parameters: dict[str, str] = {}
-        self.key: tuple[int, bytes] | None = None
-        self.due: deque[Due] = deque()
-        self.reach = Reach.NOTHING
-        self.fresh: dict[str, str] = {}  # prepared by this group, by the client's names
-        self.gone: set[str] = set()  # closed by this group
+        self.backend_key: tuple[int, bytes] | None = None
+        self.expected: deque[ExpectedResponse] = deque()
+        self.progress = GroupProgress.NOT_SENT
+        self.parsed_in_group: dict[str, str] = {}  # prepared by this group, by the client's names
+        self.closed_in_group: set[str] = set()  # closed by this group
         self.skipping = False  # behind an error, until the answer to Sync
 
     # -- To the server
@@ -115,233 +117,251 @@
     def send(self, parts: list[Message], statements: Mapping[str, Message]) -> bytes:
         """The bytes for messages of a client's group; ``statements`` are those that the client has prepared."""
         self.phase = Phase.OPEN
-        made: list[bytes] = []
+        output: list[bytes] = []
         for part in parts:
             name = part.name.removesuffix(" done")
-            call = getattr(self, f"_send_{name.lower()}", None)
-            if call:
-                call(part, statements, made)
+            handler = getattr(self, f"_send_{name.lower()}", None)
+            if handler:
+                handler(part, statements, output)
             else:
-                made.append(part.raw)
-                if name in ENDS:
-                    self.due.append(Due(name))
-        self.reach = max(self.reach, Reach.PARTLY)
-        return b"".join(made)
+                output.append(part.raw)
+                if name in FINAL_RESPONSES:
+                    self.expected.append(ExpectedResponse(name))
+        self.progress = max(self.progress, GroupProgress.PARTLY_SENT)
+        return b"".join(output)
 
-    def written(self, whole: bool) -> None:
+    def mark_written(self, complete: bool) -> None:
         """What was sent is with the kernel; ``whole`` where the group's end was in it."""
-        if whole:
-            self.reach = max(self.reach, Reach.WHOLE)
+        if complete:
+            self.progress = max(self.progress, GroupProgress.FULLY_SENT)
 
     @property
     def may_have_run(self) -> bool:
         """Whether the open group may have run."""
-        return self.reach >= Reach.WHOLE
+        return self.progress >= GroupProgress.FULLY_SENT
 
     def _send_parse(
-        self, part: Message, statements: Mapping[str, Message], made: list[bytes]
+        self, part: Message, statements: Mapping[str, Message], output: list[bytes]
     ) -> None:
-        name, text = part.fields["name"], _key(part)
+        name, statement_key = part.fields["name"], _statement_key(part)
         if not name:  # the unnamed statement is the group's own: it goes as it is
-            made.append(part.raw)
-            self.due.append(Due("Parse"))
+            output.append(part.raw)
+            self.expected.append(ExpectedResponse("Parse"))
             return
-        if name in self.fresh or name in statements and name not in self.gone:
+        if name in self.parsed_in_group or name in statements and name not in self.closed_in_group:
             # The client has that name already: the server refuses it in its own words, by the name that it has here.
-            made.append(
+            output.append(
                 message(
                     Side.FRONT,
                     "Parse",
-                    name=self._name(name, statements, made),
+                    name=self._server_name(name, statements, output),
                     text=part.fields["text"],
                     types=part.fields["types"],
                 )
             )
-            self.due.append(Due("Parse"))
+            self.expected.append(ExpectedResponse("Parse"))
             return
-        self.fresh[name] = text
-        if self.session.has(text):
-            self.due.append(Due("Parse", made=message(Side.BACK, "ParseComplete")))
+        self.parsed_in_group[name] = statement_key
+        if self.session.prepared_name(statement_key):
+            self.expected.append(
+                ExpectedResponse("Parse", local_response=message(Side.BACK, "ParseComplete"))
+            )
         else:
-            self._prepare(text, part, made, swallow=False)
-
-    def _prepare(self, text: str, parse: Message, made: list[bytes], swallow: bool) -> str:
-        ours, old = self.session.prepare(text)
-        if old is not None:
-            made.append(message(Side.FRONT, "Close", what="S", name=old))
-            self.due.append(Due("Close", swallow=True))
-        made.append(
+            self._prepare(statement_key, part, output, discard=False)
+
+    def _prepare(
+        self, statement_key: str, parse: Message, output: list[bytes], discard: bool
+    ) -> str:
+        server_name, evicted = self.session.prepare(statement_key)
+        if evicted is not None:
+            output.append(message(Side.FRONT, "Close", what="S", name=evicted))
+            self.expected.append(ExpectedResponse("Close", discard=True))
+        output.append(
             message(
                 Side.FRONT,
                 "Parse",
-                name=ours,
+                name=server_name,
                 text=parse.fields["text"],
                 types=parse.fields["types"],
             )
         )
-        self.due.append(Due("Parse", swallow, text=text))
-        return ours
+        self.expected.append(ExpectedResponse("Parse", discard, statement_key=statement_key))
+        return server_name
 
-    def _name(self, name: str, statements: Mapping[str, Message], made: list[bytes]) -> str:
+    def _server_name(
+        self, name: str, statements: Mapping[str, Message], output: list[bytes]
+    ) -> str:
         """The broker's name here for a client's statement, prepared anew where this server lacks it."""
         if not name:
             return ""
-        parse = None if name in self.gone else statements.get(name)
-        text = self.fresh.get(name) or (_key(parse) if parse else None)
-        if text is None:
+        parse = None if name in self.closed_in_group else statements.get(name)
+        statement_key = self.parsed_in_group.get(name) or (_statement_key(parse) if parse else None)
+        if statement_key is None:
             return name  # the client has no such statement: the server says so in its own words
-        found = self.session.has(text)
-        return found if found or parse is None else self._prepare(text, parse, made, swallow=True)
+        found = self.session.prepared_name(statement_key)
+        return (
+            found
+            if found or parse is None
+            else self._prepare(statement_key, parse, output, discard=True)
+        )
 
     def _send_bind(
-        self, part: Message, statements: Mapping[str, Message], made: list[bytes]
+        self, part: Message, statements: Mapping[str, Message], output: list[bytes]
     ) -> None:
-        ours = self._name(part.fields["statement"], statements, made)
-        made.append(message(Side.FRONT, "Bind", **(part.fields | {"statement": ours})))
-        self.due.append(Due("Bind"))
+        server_name = self._server_name(part.fields["statement"], statements, output)
+        output.append(message(Side.FRONT, "Bind", **(part.fields | {"statement": server_name})))
+        self.expected.append(ExpectedResponse("Bind"))
 
     def _send_describe(
-        self, part: Message, statements: Mapping[str, Message], made: list[bytes]
+        self, part: Message, statements: Mapping[str, Message], output: list[bytes]
     ) -> None:
         if part.fields["what"] == "S":
-            ours = self._name(part.fields["name"], statements, made)
-            made.append(message(Side.FRONT, "Describe", what="S", name=ours))
+            server_name = self._server_name(part.fields["name"], statements, output)
+            output.append(message(Side.FRONT, "Describe", what="S", name=server_name))
         else:
-            made.append(part.raw)
-        self.due.append(Due("Describe"))
+            output.append(part.raw)
+        self.expected.append(ExpectedResponse("Describe"))
 
     def _send_close(
-        self, part: Message, statements: Mapping[str, Message], made: list[bytes]
+        self, part: Message, statements: Mapping[str, Message], output: list[bytes]
     ) -> None:
         if (
             part.fields["what"] == "S" and part.fields["name"]
         ):  # kept here: the next client of that text has it ready
-            self.fresh.pop(part.fields["name"], None)
-            self.gone.add(part.fields["name"])
-            self.due.append(Due("Close", made=message(Side.BACK, "CloseComplete")))
+            self.parsed_in_group.pop(part.fields["name"], None)
+            self.closed_in_group.add(part.fields["name"])
+            self.expected.append(
+                ExpectedResponse("Close", local_response=message(Side.BACK, "CloseComplete"))
+            )
         else:
-            made.append(part.raw)
-            self.due.append(Due("Close"))
+            output.append(part.raw)
+            self.expected.append(ExpectedResponse("Close"))
 
     # -- From the server
 
-    def feed(self, data: bytes) -> list[Pass | Ready | Broken]:
+    def feed(self, data: bytes) -> list[ClientData | Ready | Broken]:
         """Take bytes of the server; what comes of them, in order."""
         self.decoder.feed(data)
-        made: list[Pass | Ready | Broken] = []
+        events: list[ClientData | Ready | Broken] = []
         while self.phase is not Phase.OVER:
-            self._make(made)
-            found = self.decoder.next(stream=self.phase is Phase.OPEN and not self._swallows())
+            self._emit_local_responses(events)
+            found = self.decoder.next(stream=self.phase is Phase.OPEN and not self._discards_next())
             if found is None:
-                return made
+                return events
             if isinstance(found, Unreadable):
-                self._break(f"unreadable: {found.reason}", made)
+                self._fail(f"unreadable: {found.reason}", events)
             elif isinstance(found, Piece):
-                self._piece(found, made)
+                self._handle_piece(found, events)
             else:
-                self._take(found, made)
-        return made
-
-    def _swallows(self) -> bool:
-        return bool(self.due) and self.due[0].swallow
-
-    def _make(self, made: list[Pass | Ready | Broken]) -> None:
-        """Answers that are made here and whose turn has come."""
-        while self.due and self.due[0].made and not self.skipping:
-            data = self.due.popleft().made
-            made.append(
-                Pass(
+                self._handle_message(found, events)
+        return events
+
+    def _discards_next(self) -> bool:
+        return bool(self.expected) and self.expected[0].discard
+
+    def _emit_local_responses(self, events: list[ClientData | Ready | Broken]) -> None:
+        """Answers that are events here and whose turn has come."""
+        while self.expected and self.expected[0].local_response and not self.skipping:
+            data = self.expected.popleft().local_response
+            events.append(
+                ClientData(
                     data,
                     Message("ParseComplete" if data[:1] == b"1" else "CloseComplete", {}, data),
                 )
             )
 
-    def _break(self, reason: str, made: list[Pass | Ready | Broken]) -> None:
+    def _fail(self, reason: str, events: list[ClientData | Ready | Broken]) -> None:
         self.phase = Phase.OVER
-        made.append(Broken(reason))
+        events.append(Broken(reason))
 
-    def _piece(self, found: Piece, made: list[Pass | Ready | Broken]) -> None:
-        if not self.due or found.name not in INSIDE.get(self.due[0].what, ()) or self.skipping:
-            self._break(f"{found.name} out of its place", made)
+    def _handle_piece(self, found: Piece, events: list[ClientData | Ready | Broken]) -> None:
+        if (
+            not self.expected
+            or found.name not in INTERMEDIATE_RESPONSES.get(self.expected[0].request, ())
+            or self.skipping
+        ):
+            self._fail(f"{found.name} out of its place", events)
             return
-        self.reach = Reach.ANSWERED
-        made.append(Pass(found.raw))
+        self.progress = GroupProgress.RESPONSE_STARTED
+        events.append(ClientData(found.raw))
 
-    def _take(self, found: Message, made: list[Pass | Ready | Broken]) -> None:
-        if found.name in ANY_TIME:
+    def _handle_message(self, found: Message, events: list[ClientData | Ready | Broken]) -> None:
+        if found.name in ASYNCHRONOUS_MESSAGES:
             if found.name == "ParameterStatus":
                 self.parameters[found.fields["name"]] = found.fields["value"]
             if self.phase is Phase.OPEN:
-                made.append(Pass(found.raw, found))
+                events.append(ClientData(found.raw, found))
         elif found.name == "ErrorResponse" and found.fields["fields"].get(
             "V", found.fields["fields"].get("S")
         ) in ("FATAL", "PANIC"):
             if self.phase is Phase.OPEN:
-                made.append(Pass(found.raw, found))
-            self._break(f"the server ends it: {found.fields['fields'].get('M', '')[:80]}", made)
+                events.append(ClientData(found.raw, found))
+            self._fail(f"the server ends it: {found.fields['fields'].get('M', '')[:80]}", events)
         elif self.phase is Phase.STARTING:
-            self._starting(found, made)
+            self._handle_startup(found, events)
         elif self.phase is Phase.OPEN:
-            self._answer(found, made)
+            self._handle_response(found, events)
         else:
-            self._break(f"{found.name} with nothing asked", made)
+            self._fail(f"{found.name} with nothing asked", events)
 
-    def _starting(self, found: Message, made: list[Pass | Ready | Broken]) -> None:
+    def _handle_startup(self, found: Message, events: list[ClientData | Ready | Broken]) -> None:
         if found.name == "Authentication" and found.fields["code"] == 0:
             return
         if found.name == "BackendKeyData":
-            self.key = found.fields["pid"], found.fields["secret"]
+            self.backend_key = found.fields["pid"], found.fields["secret"]
         elif found.name == "ReadyForQuery":
             self.phase = Phase.READY
-            made.append(Ready(found.fields["state"]))
+            events.append(Ready(found.fields["state"]))
         elif found.name != "NegotiateProtocolVersion":
-            self._break(
-                f"{found.name} at the start", made
+            self._fail(
+                f"{found.name} at the start", events
             )  # a password that is not configured, or an error
 
-    def _answer(self, found: Message, made: list[Pass | Ready | Broken]) -> None:
-        if not self.due:
-            self._break(f"{found.name} with nothing due", made)
+    def _handle_response(self, found: Message, events: list[ClientData | Ready | Broken]) -> None:
+        if not self.expected:
+            self._fail(f"{found.name} with nothing due", events)
             return
-        if found.name in COPY:
+        if found.name in COPY_RESPONSES:
             # Guards the stream: the server now speaks COPY, and no client here was told how.
-            self._break("the server began a COPY", made)
+            self._fail("the server began a COPY", events)
             return
-        due = self.due[0]
-        if found.name == "ErrorResponse" and due.what != "Query":
-            self._error(found, made)
+        expected = self.expected[0]
+        if found.name == "ErrorResponse" and expected.request != "Query":
+            self._handle_error(found, events)
             return
-        if self.skipping and due.what != "Sync":
-            self._break(f"{found.name} behind an error", made)
+        if self.skipping and expected.request != "Sync":
+            self._fail(f"{found.name} behind an error", events)
             return
-        self.reach = Reach.ANSWERED
-        if found.name in ENDS[due.what]:
-            self.due.popleft()
-        elif found.name not in INSIDE.get(due.what, ()):
-            self._break(f"{found.name} where {due.what} is due", made)
+        self.progress = GroupProgress.RESPONSE_STARTED
+        if found.name in FINAL_RESPONSES[expected.request]:
+            self.expected.popleft()
+        elif found.name not in INTERMEDIATE_RESPONSES.get(expected.request, ()):
+            self._fail(f"{found.name} where {expected.request} is due", events)
             return
-        if not due.swallow:
-            made.append(Pass(found.raw, found))
+        if not expected.discard:
+            events.append(ClientData(found.raw, found))
         if found.name == "ReadyForQuery":
-            self.skipping, self.reach = False, Reach.NOTHING
-            self.fresh.clear()
-            self.gone.clear()
-            if not self.due:
+            self.skipping, self.progress = False, GroupProgress.NOT_SENT
+            self.parsed_in_group.clear()
+            self.closed_in_group.clear()
+            if not self.expected:
                 self.phase = Phase.READY
-                made.append(Ready(found.fields["state"]))
+                events.append(Ready(found.fields["state"]))
 
-    def _error(self, found: Message, made: list[Pass | Ready | Broken]) -> None:
-        """What is left of the group is skipped by the server, answers that would be made here with it."""
-        self.reach = Reach.ANSWERED
-        made.append(Pass(found.raw, found))
+    def _handle_error(self, found: Message, events: list[ClientData | Ready | Broken]) -> None:
+        """What is left of the group is skipped by the server, answers that would be events here with it."""
+        self.progress = GroupProgress.RESPONSE_STARTED
+        events.append(ClientData(found.raw, found))
         self.skipping = True
-        while self.due and self.due[0].what != "Sync":
-            due = self.due.popleft()
-            if due.text is not None:
-                self.session.unprepared(due.text)  # it did not take it, or did not come to it
+        while self.expected and self.expected[0].request != "Sync":
+            expected = self.expected.popleft()
+            if expected.statement_key is not None:
+                self.session.forget_statement(
+                    expected.statement_key
+                )  # it did not take it, or did not come to it
 
 
-def _key(parse: Message) -> str:
+def _statement_key(parse: Message) -> str:
     """What makes two Parses the same: the text and the types that were stated."""
     types = ",".join(map(str, parse.fields["types"]))
     return f"{types};{parse.fields['text']}"
