--- a/tests/test_pg_server.py
+++ b/tests/test_pg_server.py
@@ -1,4 +1,8 @@
-"""A PostgreSQL client through the session, the pool and a server's link sees what it would see of a server directly."""
+"""A PostgreSQL client behind the session, the pool and a server link sees the same responses as directly at a server.
+
+The broker renames and reuses prepared statements, so a response could be missing, extra or out of order, or a statement
+could reach a server that doesn't know it.
+"""
 
 from __future__ import annotations
 
@@ -21,18 +25,18 @@
 
 
 class Path:
-    """One client through one pool of model servers; answers are written as they come."""
+    """One client that uses model servers through a pool; responses are collected in ``got``."""
 
     def __init__(
         self, pool_: Pool, ran: Counter, servers: dict, links: dict, choose=lambda idle: None
     ) -> None:
         self.front, self.pool, self.ran = FrontSession(1, b"s"), pool_, ran
         self.servers, self.links, self.choose = servers, links, choose
-        self.got, self.link, self.over = b"", None, False
+        self.got, self.link, self.disconnected = b"", None, False
         self.feed(START)
 
     def session(self):
-        """A session for the open group."""
+        """Return a session for the open group; start one if the pool has none to assign."""
         found = self.pool.take(self, tuple(self.front.statements))
         if found is None:
             found = self.pool.open()
@@ -52,7 +56,7 @@
             elif isinstance(event, Write):
                 self.got += event.data
             elif isinstance(event, End):
-                self.over = True
+                self.disconnected = True
             elif isinstance(event, (Ask, More)):
                 if isinstance(event, Ask):
                     self.link = self.links[self.session()]
@@ -70,7 +74,7 @@
                 if each.message and each.message.name != "ReadyForQuery":
                     self.front.record_forwarded(each.message)
             elif isinstance(each, Ready):
-                assert self.pool.ready(link.session, each.state, not self.over) in (
+                assert self.pool.ready(link.session, each.state, not self.disconnected) in (
                     Cleaning.NOTHING,
                     Cleaning.ROLLBACK,
                 )
@@ -79,8 +83,8 @@
                 raise AssertionError(each)
 
     def left(self) -> None:
-        """Go away; sessions are cleaned as the pool says."""
-        self.over = True
+        """Disconnect; sessions are cleaned as the pool requests."""
+        self.disconnected = True
         for session, what in self.pool.left(self):
             assert what is Cleaning.ROLLBACK
             server = self.servers[session]
@@ -185,7 +189,7 @@
         ],
     ],
 )
-def test_names_live_and_end_as_at_a_server(groups):
+def test_statement_names_behave_as_at_a_server(groups):
     direct, path = ModelServer(), Path(Pool(1), Counter(), {}, {})
     seen = direct.feed(START)
     for group in groups:
@@ -194,7 +198,7 @@
     assert names(path.got) == names(seen)
 
 
-def test_statements_that_were_put_out_are_prepared_again(monkeypatch):
+def test_evicted_statements_are_prepared_again(monkeypatch):
     monkeypatch.setattr(pool, "MAX_PREPARED_STATEMENTS", 4)
     path = Path(Pool(1), Counter(), {}, {})
     for number in range(30):
@@ -211,16 +215,15 @@
     assert len(server.statements) <= 4
 
 
-def test_what_may_have_run_is_a_proof_by_the_last_byte():
+def test_group_may_have_run_only_after_its_sync_was_written():
     path = Path(Pool(1), Counter(), {}, {})
     session = path.session()
     link = path.links[session]
     path.front.feed(parse("load") + bind() + EXECUTE + FLUSH)
     link.send(path.front.more(), {})
     link.mark_written(False)
-    assert (
-        link.progress is GroupProgress.PARTLY_SENT and not link.may_have_run
-    )  # no Sync: the server rolls it back
+    # Without a Sync the server rolls the group back.
+    assert link.progress is GroupProgress.PARTLY_SENT and not link.may_have_run
     path.front.feed(SYNC)
     link.send(path.front.more(), {})
     assert not link.may_have_run
@@ -229,27 +232,27 @@
 
 
 @pytest.mark.parametrize(
-    "data, told",
+    "data, reason",
     [
         (message(Side.BACK, "CommandComplete", tag="x"), "where Parse is due"),
         (message(Side.BACK, "CopyInResponse", data=b""), "COPY"),
-        (message(Side.BACK, "DataRow", values=[]), "out of its place"),
+        (message(Side.BACK, "DataRow", values=[]), "DataRow was not expected"),
         (
             message(Side.BACK, "ErrorResponse", fields={"V": "FATAL", "M": "bye"}),
-            "the server ends it: bye",
+            "the server ended the session: bye",
         ),
         (b"?", None),
         (b"?\0\0\0\4", "unreadable"),
     ],
 )
-def test_a_server_that_loses_its_mind_ends_its_session_once(data, told):
+def test_unexpected_server_message_fails_the_session_once(data, reason):
     path = Path(Pool(1), Counter(), {}, {})
     link = path.links[path.session()]
     path.front.feed(parse() + SYNC)
     link.send(path.front.more(), {})
     found = [each for each in link.feed(data) if isinstance(each, Broken)]
-    assert [told in each.reason for each in found] == ([True] if told else [])
-    if told:
+    assert [reason in each.reason for each in found] == ([True] if reason else [])
+    if reason:
         assert not link.feed(message(Side.BACK, "ParseComplete"))
 
 
--- a/umberusher/pg/codec.py
+++ b/umberusher/pg/codec.py
@@ -1,8 +1,8 @@
-"""Bytes to messages and back, for both sides. No I/O.
+"""Decodes and encodes the messages of both sides, without I/O.
 
-Owns framing, limits and the kinds of fields. Bytes come in pieces of any size; the length of a message is known after
-its head, so no byte is looked at twice while the rest is waited for. What is out of bounds is said before its body has
-come: a length of 2 GB costs five bytes.
+This module owns framing, limits and the kinds of fields. Bytes arrive in pieces of any size. The header states the
+length of a message, so no byte is scanned twice while the remaining ones are awaited. A length out of bounds is
+reported before the body arrives: a stated length of 2 GB costs the memory of a five-byte header.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from umberusher.pg.messages import BY_CODE, BY_NAME, MessageType, Side
 
 MAX_LIST_ITEMS = 65_535
-MAX_CONSUMED_BYTES = 1 << 16  # bytes of what was read that may stay before they are given back
+MAX_CONSUMED_BYTES = 1 << 16  # decoded bytes that may stay in the buffer before they are freed
 
 
 class Message(NamedTuple):
-    """One message: its name, its fields, and its bytes as they came."""
+    """One message: its name, its fields and its bytes as received."""
 
     name: str
     fields: dict[str, Any]
@@ -29,13 +29,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Unreadable:
-    """The stream makes no sense any more; nothing after this can be read."""
+    """The stream violates the protocol; nothing after this point can be decoded."""
 
     reason: str
 
 
 class Piece(NamedTuple):
-    """A part of a streamed message as it passes through; ``last`` ends it."""
+    """A part of a streamed message, unchanged; ``last`` marks its end."""
 
     name: str
     raw: bytes
@@ -43,11 +43,11 @@
 
 
 class _BadError(Exception):
-    """A body is not of its kind; stays in this module."""
+    """A body doesn't match its message type; it never leaves this module."""
 
 
 class _Reader:
-    """Reads fields out of one body."""
+    """Reads the fields of one message body."""
 
     def __init__(self, data: bytes) -> None:
         self.data, self.offset = data, 0
@@ -165,7 +165,7 @@
 
 
 def decode_fields(message_type: MessageType, body: bytes) -> dict[str, Any] | str:
-    """A body's fields; a text that tells what is wrong with it."""
+    """Return the fields of a body, or a text that says what is wrong with it."""
     reader = _Reader(body)
     try:
         found = {name: _read_field(kind, reader) for name, kind in message_type.fields}
@@ -177,7 +177,10 @@
 
 
 def message(side: Side, name: str, /, **values: Any) -> bytes:
-    """A message's bytes; ValueError, KeyError or struct.error where the values are not of its kind."""
+    """Encode a message.
+
+    Raises ValueError, KeyError or struct.error if the values don't match the message type.
+    """
     message_type = BY_NAME[side][name]
     body = b"".join(_write_field(kind, values[field]) for field, kind in message_type.fields)
     if len(body) > message_type.max_body_bytes:
@@ -186,33 +189,32 @@
 
 
 class Decoder:
-    """Messages of one side out of bytes in pieces.
+    """Decodes the messages of one side from bytes that arrive in pieces.
 
-    ``starting`` is for a client's first messages, which have no type byte; ``finish_startup`` ends that. After an Unreadable
-    nothing more comes.
+    ``starting`` is for a client's first messages, which have no type byte; ``finish_startup`` ends that. After an
+    Unreadable no further message is decoded.
     """
 
     def __init__(self, side: Side, starting: bool = False) -> None:
         self.side, self.starting = side, starting
         self.buffer = bytearray()
-        self.offset = 0  # read up to here
+        self.offset = 0  # the bytes of the buffer before this are consumed
         self.failure: Unreadable | None = None
-        self.streamed_remainder: tuple[MessageType, int] | None = (
-            None  # a streamed message, and what is left of it
-        )
+        # The type of the message that is being streamed, and how many of its bytes remain.
+        self.streamed_remainder: tuple[MessageType, int] | None = None
 
     def feed(self, data: bytes) -> None:
-        """Take bytes."""
+        """Append received bytes; they are dropped after a failure."""
         if self.failure is None:
             self.buffer += data
 
     @property
     def unread_bytes(self) -> int:
-        """Bytes that are not read yet."""
+        """The number of bytes that are not consumed yet."""
         return len(self.buffer) - self.offset
 
     def finish_startup(self) -> None:
-        """The start-up is over: from here on each message has its type."""
+        """End the start-up: from here on each message has a type byte."""
         self.starting = False
 
     def _fail(self, reason: str) -> Unreadable:
@@ -222,7 +224,7 @@
         return self.failure
 
     def _consume(self, size: int) -> bytes:
-        """Read on; gives back the room of what was read now and then, not for each message."""
+        """Consume bytes; the memory of consumed ones is freed from time to time, not for each message."""
         raw = bytes(memoryview(self.buffer)[self.offset : self.offset + size])
         self.offset += size
         if self.offset >= MAX_CONSUMED_BYTES or self.offset == len(self.buffer):
@@ -231,7 +233,10 @@
         return raw
 
     def next(self, stream: bool = False) -> Message | Piece | Unreadable | None:
-        """The next message; None while more bytes are needed. With ``stream`` rows come as pieces, as they are."""
+        """Return the next message, or None if more bytes are needed.
+
+        With ``stream`` the messages of streamed types, such as rows, are returned as pieces, unchanged.
+        """
         if self.failure is not None:
             return self.failure
         if self.streamed_remainder is not None:
--- a/umberusher/pg/messages.py
+++ b/umberusher/pg/messages.py
@@ -1,17 +1,18 @@
-"""The messages of the protocol as a table: type byte, who sends it, its fields, and how long it may be.
+"""The messages of the protocol as a table: type byte, sender, fields and maximum length.
 
 Source: the PostgreSQL manual, "Frontend/Backend Protocol", sections "Message Formats" and "Message Flow" (version 3.0;
-3.2 differs in the length of a cancel key). Owns names, fields and limits; the codec owns the bytes.
+3.2 differs in the length of a cancel key). This module owns names, fields and limits; the codec owns the encoding.
 
 A field is a name and a kind:
 
     i8 i16 i32 u32   integers, big-endian; u32 for object ids
     str              text up to a zero byte
     byte             one byte, as a character
-    rest             the bytes up to the end
-    bytes32          a length of four bytes and so many bytes; -1 is None
-    list16:KIND      a count of two bytes and so many of a kind
-    strs             texts up to an empty one
+    rest             the bytes up to the end of the body
+    bytes32          a length of four bytes, then that many bytes; a length of -1 is None
+    list16:KIND      a count of two bytes, then that many fields of a kind
+    list32:KIND      the same with a count of four bytes
+    strs             pairs of texts, up to an empty name
     fields           pairs of a byte and a text, up to a zero byte (errors and notices)
     columns          a row's description: name, table, column, type, size, modifier, format
 """
@@ -23,13 +24,14 @@
 
 KIB, MIB = 1 << 10, 1 << 20
 DEFAULT_MAX_BODY_BYTES = 16 * KIB
-MAX_STARTUP_BYTES = 10_000  # as servers hold it; a longer one is no start-up
+# The limit of PostgreSQL servers; a longer packet is not a start-up packet.
+MAX_STARTUP_BYTES = 10_000
 PROTOCOL_3_0 = 196_608
 SSL_REQUEST, GSS_REQUEST, CANCEL_REQUEST = 80_877_103, 80_877_104, 80_877_102
 
 
 class Side(Enum):
-    """Who sends a message."""
+    """The sender of a message."""
 
     FRONT = "client"
     BACK = "server"
@@ -37,14 +39,14 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageType:
-    """One type of message."""
+    """One type of message and the limits of its body."""
 
     name: str
-    code: bytes  # empty for those without a type byte
+    code: bytes  # the type byte; empty for messages without one
     side: Side
     fields: tuple[tuple[str, str], ...] = ()
-    max_body_bytes: int = DEFAULT_MAX_BODY_BYTES  # bytes of its body
-    streamed: bool = False  # may pass through in pieces
+    max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
+    streamed: bool = False  # may be forwarded in pieces
 
 
 def _message_type(
@@ -79,7 +81,8 @@
         ("Flush", b"H"),
         ("FunctionCall", b"F", "data=rest", MIB),
         ("Parse", b"P", "name=str text=str types=list16:u32", MIB),
-        ("Password", b"p", "data=rest", 64 * KIB),  # also SASL's two, told apart by what was asked
+        # Also the two SASL messages; the authentication request determines which one it is.
+        ("Password", b"p", "data=rest", 64 * KIB),
         ("Query", b"Q", "text=str", MIB),
         ("Sync", b"S"),
         ("Terminate", b"X"),
@@ -116,7 +119,7 @@
     )
 )
 
-# Without a type byte, told apart by the number behind their length.
+# These have no type byte; the number after their length distinguishes them.
 STARTUP = _message_type(
     "StartupMessage", b"", Side.FRONT, "version=u32 options=strs", MAX_STARTUP_BYTES
 )
--- a/umberusher/pg/pool.py
+++ b/umberusher/pg/pool.py
@@ -1,10 +1,12 @@
-"""Which server session a group goes to: a transaction pins one, and prepared statements are cleanings where they lack.
+"""The pool of server sessions of one node; decides which session serves a group of a client's messages.
 
-Owns the pool of one node's sessions and what is known of each: the transaction it is in, the statements it has,
-whether it is clean. Decisions only; connections belong to the back.
+The pool tracks for each session its transaction status, its prepared statements and whether it is clean. A transaction
+pins its session to the client, and a statement is prepared on a session that lacks it. The pool only decides; it holds
+no connections.
 
-States of a server session: STARTING -> IDLE -> BUSY -> (IDLE | PINNED | UNCLEAN) -> CLOSED. Only an IDLE one is given
-out, and only a PINNED one to its owner again. What is UNCLEAN is cleaned before it is IDLE, or closed.
+States of a server session: STARTING -> IDLE -> BUSY -> (IDLE | PINNED | UNCLEAN) -> CLOSED. Only an IDLE session is
+assigned to a client; a PINNED one is assigned to its owner alone. An UNCLEAN one is cleaned before it is IDLE, or
+closed.
 """
 
 from __future__ import annotations
@@ -14,24 +16,22 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-MAX_PREPARED_STATEMENTS = (
-    512  # prepared on one server session; the one used longest ago is closed for the next
-)
-MAX_SERVED_GROUPS = (
-    50_000  # groups, after which a session is closed when it is idle: servers' memory creeps
-)
+# On one server session; beyond that the least recently used statement is closed.
+MAX_PREPARED_STATEMENTS = 512
+# After that many groups an idle session is closed, because the memory of server processes grows slowly.
+MAX_SERVED_GROUPS = 50_000
 DISCARD_ALL = "DISCARD ALL"
 
 Client = TypeVar("Client")
 
 
 class Standing(Enum):
-    """Where a server session stands."""
+    """The state of a server session."""
 
     STARTING = "starting"
     IDLE = "idle"
     BUSY = "busy"
-    PINNED = "pinned"  # in a transaction of its owner's
+    PINNED = "pinned"  # in a transaction of its owner
     UNCLEAN = "unclean"
     CLOSED = "closed"
 
@@ -42,34 +42,32 @@
     NOTHING = "nothing"
     ROLLBACK = "ROLLBACK; " + DISCARD_ALL
     DISCARD = DISCARD_ALL
-    CLOSE = "close"  # nobody knows what state it is in
+    CLOSE = "close"  # its state is unknown, or it is no longer needed
 
 
 @dataclass(slots=True, eq=False)
 class ServerSession(Generic[Client]):
-    """One session at a node."""
+    """One session at a node and what the pool knows of it."""
 
     number: int
     standing: Standing = Standing.STARTING
     owner: Client | None = None
     served_groups: int = 0
-    touched: bool = False  # something was set that lasts beyond a transaction
-    statements: OrderedDict[str, str] = field(
-        default_factory=OrderedDict
-    )  # by text, the broker's name for it
-    last_name_number: int = (
-        0  # ever given: a name is never used again, so a late Close can't hit another's
-    )
+    touched: bool = False  # a setting was changed that outlasts a transaction
+    # The broker's names of prepared statements by their keys, least recently used first.
+    statements: OrderedDict[str, str] = field(default_factory=OrderedDict)
+    # Names are never reused, so that a late Close can't close another statement.
+    last_name_number: int = 0
 
     def prepared_name(self, statement_key: str) -> str | None:
-        """The name under which a text is prepared here; it counts as used."""
+        """Return the name under which a statement is prepared here, if it is, and mark it as used."""
         name = self.statements.get(statement_key)
         if name is not None:
             self.statements.move_to_end(statement_key)
         return name
 
     def prepare(self, statement_key: str) -> tuple[str, str | None]:
-        """A name for a text that is to be prepared, and the name that is to be closed for it, if any."""
+        """Return the name for a new statement, and the name of the one to close for it, if any."""
         evicted = None
         if len(self.statements) >= MAX_PREPARED_STATEMENTS:
             evicted = self.statements.popitem(last=False)[1]
@@ -79,25 +77,26 @@
         return name, evicted
 
     def forget_statement(self, statement_key: str) -> None:
-        """The server did not take it."""
+        """Forget a statement that the server didn't prepare."""
         self.statements.pop(statement_key, None)
 
 
 class Pool(Generic[Client]):
-    """The sessions of one node."""
+    """The sessions of one node, ``most`` of them at a time."""
 
     def __init__(self, most: int) -> None:
         self.most = most
         self.sessions: dict[int, ServerSession[Client]] = {}
         self.last_number = 0
-        self.draining = False  # the node drains: nothing new, and what is idle closes
+        self.draining = False  # no new sessions; idle ones are closed
 
     def take(
         self, client: Client, statement_keys: tuple[str, ...] = ()
     ) -> ServerSession[Client] | None:
-        """A session for a group: the client's own where it is pinned, else an idle one, best with its statements there.
+        """Assign a session to a group and return it.
 
-        None where one has to be opened, or the pool is full.
+        This is the session that is pinned to the client, if any, otherwise the idle one that has most of the group's
+        statements prepared. None means that a session must be opened first, or that the pool is full.
         """
         for each in self.sessions.values():
             if each.standing is Standing.PINNED and each.owner is client:
@@ -124,21 +123,21 @@
         return self.draining or len(self.sessions) >= self.most
 
     def open(self) -> ServerSession[Client]:
-        """A session that comes up."""
+        """Add a session that is being started."""
         self.last_number += 1
         session = self.sessions[self.last_number] = ServerSession(self.last_number)
         return session
 
     def up(self, session: ServerSession[Client]) -> None:
-        """It is there, clean."""
+        """Make a started session available."""
         if session.standing is Standing.STARTING:
             session.standing = Standing.IDLE
 
     def ready(self, session: ServerSession[Client], state: str, client_connected: bool) -> Cleaning:
-        """Its server is ready, with the transaction's state; ``client_connected`` where its client is still there.
+        """Handle ReadyForQuery with its transaction status; return the cleaning before another client may use it.
 
-        What it needs before it may serve another. One in a transaction stays its owner's; where the owner has left it
-        is rolled back, and only then given out.
+        A session in a transaction stays pinned to its owner while that is connected. Otherwise the transaction is
+        rolled back before the session is assigned again.
         """
         session.served_groups += 1
         if state != "I" and client_connected:
@@ -150,7 +149,7 @@
             return Cleaning.ROLLBACK
         if session.touched:
             session.standing = Standing.UNCLEAN
-            session.statements.clear()  # DISCARD ALL takes prepared statements with it
+            session.statements.clear()  # DISCARD ALL deallocates prepared statements
             return Cleaning.DISCARD
         if self.draining or session.served_groups >= MAX_SERVED_GROUPS:
             self.remove(session)
@@ -159,7 +158,7 @@
         return Cleaning.NOTHING
 
     def cleaned(self, session: ServerSession[Client], state: str) -> Cleaning:
-        """The answer to cleaning: only a session that is out of any transaction is clean."""
+        """Handle the end of cleaning: only a session outside of any transaction is clean, others are closed."""
         if state != "I" or self.draining:
             self.remove(session)
             return Cleaning.CLOSE
@@ -167,9 +166,10 @@
         return Cleaning.NOTHING
 
     def left(self, client: Client) -> list[tuple[ServerSession[Client], Cleaning]]:
-        """A client has gone: its pinned sessions are rolled back; one that is busy for it can't be, and is closed.
+        """Handle a client's disconnect: roll back its pinned sessions, close the busy ones.
 
-        What runs there goes on unheard, as an engine's does; the session must not be given out meanwhile.
+        A busy session can't be rolled back. Its statement runs on and nobody reads the result, as at an engine, so the
+        session must not be assigned meanwhile.
         """
         cleanings = []
         for each in [each for each in self.sessions.values() if each.owner is client]:
@@ -183,7 +183,7 @@
         return cleanings
 
     def drain(self) -> list[ServerSession[Client]]:
-        """The node takes nothing new: idle sessions close now, the others when they are over."""
+        """Accept no new groups: idle sessions are closed now, the others once their work has ended."""
         self.draining = True
         idle = [
             each
@@ -195,6 +195,6 @@
         return idle
 
     def remove(self, session: ServerSession[Client]) -> None:
-        """It is no more."""
+        """Remove a closed session."""
         session.standing, session.owner = Standing.CLOSED, None
         self.sessions.pop(session.number, None)
--- a/umberusher/pg/server.py
+++ b/umberusher/pg/server.py
@@ -1,13 +1,13 @@
-"""A session at a server as a machine of states, without I/O: a client's groups in, the server's answers out.
+"""The state machine of a session at a server, without I/O: takes a client's groups, returns the server's responses.
 
-Owns what is sent for a group and what of the answers is the client's. A client's statement names are its own; here
-they become names of the broker's, prepared where this server lacks them and found again where it has them. So some
-messages are sent that the client did not send, and their answers are swallowed; others are not sent, and their answers
-are made here. Both are kept in order by a queue of what is to come.
+This module decides what is sent for a group and which responses belong to the client. A client's statement names are
+mapped to names of the broker, so that a statement is prepared on a server that lacks it and reused on one that has it.
+Some messages are therefore sent that the client didn't send, and their responses are discarded; others aren't sent, and
+their responses are generated here. A queue of expected responses keeps both in order.
 
-Whether a group may have run is a proof, as for the other protocol: a server runs nothing of which it lacks the last
-byte, and what is executed before a Sync is rolled back where the Sync never came (the implicit transaction of the
-extended query protocol), so a group whose Sync or Query did not go out whole never ran.
+A group may have run only if its Sync or Query was sent completely, as for the other protocol: a server doesn't run a
+message whose last byte is missing, and what was executed before a Sync is rolled back if the Sync never arrives (the
+implicit transaction of the extended query protocol).
 """
 
 from __future__ import annotations
@@ -21,7 +21,9 @@
 from umberusher.pg.messages import Side
 from umberusher.pg.pool import ServerSession
 
+# A server may send these at any time.
 ASYNCHRONOUS_MESSAGES = frozenset(["NoticeResponse", "ParameterStatus", "NotificationResponse"])
+# The responses that complete a message, by the message.
 FINAL_RESPONSES = {
     "Parse": ("ParseComplete",),
     "Bind": ("BindComplete",),
@@ -31,6 +33,7 @@
     "Sync": ("ReadyForQuery",),
     "Query": ("ReadyForQuery",),
 }
+# The responses that may precede the final one.
 INTERMEDIATE_RESPONSES = {
     "Describe": ("ParameterDescription",),
     "Execute": ("DataRow",),
@@ -46,36 +49,36 @@
 
 
 class GroupProgress(IntEnum):
-    """How far a group had come."""
+    """How far a group was sent and answered, in order."""
 
     NOT_SENT = 0
-    PARTLY_SENT = 1  # sent, without its end
-    FULLY_SENT = 2  # its Sync or Query is with the kernel
+    PARTLY_SENT = 1  # without its Sync or Query
+    FULLY_SENT = 2  # its Sync or Query was written to the socket
     RESPONSE_STARTED = 3
 
 
 class Phase(Enum):
-    """Where the session stands."""
+    """The phase of a session."""
 
     STARTING = "starting"
     READY = "ready"
-    OPEN = "open"  # a group's answers are to come
+    OPEN = "open"  # responses to a group are expected
     OVER = "over"
 
 
 @dataclass(slots=True)
 class ExpectedResponse:
-    """What is to come for one message that was sent, or ``made`` here in its place."""
+    """The response expected to one message; ``local_response`` is generated here for a message that isn't sent."""
 
     request: str
     discard: bool = False
     local_response: bytes = b""
-    statement_key: str | None = None  # that a Parse of the broker's own prepares
+    statement_key: str | None = None  # of the statement that a Parse of the broker prepares
 
 
 @dataclass(slots=True, frozen=True)
 class ClientData:
-    """Bytes for the client; ``found`` is the message where it is whole."""
+    """Bytes for the client; ``message`` is set if they are a complete message."""
 
     data: bytes
     message: Message | None = None
@@ -83,20 +86,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Ready:
-    """The group is over; the transaction's state."""
+    """The group is complete; ``state`` is the transaction status."""
 
     state: str
 
 
 @dataclass(slots=True, frozen=True)
 class Broken:
-    """Nothing more is to be had from this session."""
+    """The session has failed; no further events follow."""
 
     reason: str
 
 
 class ServerLink:
-    """One session's protocol; ``session`` is what the pool knows of it."""
+    """The protocol of one session; ``session`` is the pool's record of it."""
 
     def __init__(self, session: ServerSession, options: Mapping[str, str]) -> None:
         self.session, self.phase = session, Phase.STARTING
@@ -108,14 +111,17 @@
         self.backend_key: tuple[int, bytes] | None = None
         self.expected: deque[ExpectedResponse] = deque()
         self.progress = GroupProgress.NOT_SENT
-        self.parsed_in_group: dict[str, str] = {}  # prepared by this group, by the client's names
-        self.closed_in_group: set[str] = set()  # closed by this group
-        self.skipping = False  # behind an error, until the answer to Sync
+        self.parsed_in_group: dict[str, str] = {}  # statement keys by the client's names
+        self.closed_in_group: set[str] = set()  # the client's names
+        self.skipping = False  # after an error, until the response to Sync
 
     # -- To the server
 
     def send(self, parts: list[Message], statements: Mapping[str, Message]) -> bytes:
-        """The bytes for messages of a client's group; ``statements`` are those that the client has prepared."""
+        """Return the bytes to send for messages of a client's group.
+
+        ``statements`` are those that the client has prepared.
+        """
         self.phase = Phase.OPEN
         output: list[bytes] = []
         for part in parts:
@@ -131,7 +137,7 @@
         return b"".join(output)
 
     def mark_written(self, complete: bool) -> None:
-        """What was sent is with the kernel; ``whole`` where the group's end was in it."""
+        """Record that the bytes were written to the socket; ``complete`` if the group's end was among them."""
         if complete:
             self.progress = max(self.progress, GroupProgress.FULLY_SENT)
 
@@ -144,12 +150,12 @@
         self, part: Message, statements: Mapping[str, Message], output: list[bytes]
     ) -> None:
         name, statement_key = part.fields["name"], _statement_key(part)
-        if not name:  # the unnamed statement is the group's own: it goes as it is
+        if not name:  # the unnamed statement belongs to the group and is sent unchanged
             output.append(part.raw)
             self.expected.append(ExpectedResponse("Parse"))
             return
         if name in self.parsed_in_group or name in statements and name not in self.closed_in_group:
-            # The client has that name already: the server refuses it in its own words, by the name that it has here.
+            # The client already uses this name: under its name on this server, the server itself reports the error.
             output.append(
                 message(
                     Side.FRONT,
@@ -191,13 +197,13 @@
     def _server_name(
         self, name: str, statements: Mapping[str, Message], output: list[bytes]
     ) -> str:
-        """The broker's name here for a client's statement, prepared anew where this server lacks it."""
+        """Return the broker's name for a client's statement; prepare the statement if this server lacks it."""
         if not name:
             return ""
         parse = None if name in self.closed_in_group else statements.get(name)
         statement_key = self.parsed_in_group.get(name) or (_statement_key(parse) if parse else None)
         if statement_key is None:
-            return name  # the client has no such statement: the server says so in its own words
+            return name  # the client has no such statement: the server itself reports the error
         found = self.session.prepared_name(statement_key)
         return (
             found
@@ -225,9 +231,8 @@
     def _send_close(
         self, part: Message, statements: Mapping[str, Message], output: list[bytes]
     ) -> None:
-        if (
-            part.fields["what"] == "S" and part.fields["name"]
-        ):  # kept here: the next client of that text has it ready
+        # A named statement stays prepared on the server, for the next client with the same text.
+        if part.fields["what"] == "S" and part.fields["name"]:
             self.parsed_in_group.pop(part.fields["name"], None)
             self.closed_in_group.add(part.fields["name"])
             self.expected.append(
@@ -240,7 +245,7 @@
     # -- From the server
 
     def feed(self, data: bytes) -> list[ClientData | Ready | Broken]:
-        """Take bytes of the server; what comes of them, in order."""
+        """Decode bytes of the server and return the resulting events in order."""
         self.decoder.feed(data)
         events: list[ClientData | Ready | Broken] = []
         while self.phase is not Phase.OVER:
@@ -260,7 +265,7 @@
         return bool(self.expected) and self.expected[0].discard
 
     def _emit_local_responses(self, events: list[ClientData | Ready | Broken]) -> None:
-        """Answers that are events here and whose turn has come."""
+        """Emit the locally generated responses that are next in order."""
         while self.expected and self.expected[0].local_response and not self.skipping:
             data = self.expected.popleft().local_response
             events.append(
@@ -280,7 +285,7 @@
             or found.name not in INTERMEDIATE_RESPONSES.get(self.expected[0].request, ())
             or self.skipping
         ):
-            self._fail(f"{found.name} out of its place", events)
+            self._fail(f"{found.name} was not expected", events)
             return
         self.progress = GroupProgress.RESPONSE_STARTED
         events.append(ClientData(found.raw))
@@ -296,13 +301,15 @@
         ) in ("FATAL", "PANIC"):
             if self.phase is Phase.OPEN:
                 events.append(ClientData(found.raw, found))
-            self._fail(f"the server ends it: {found.fields['fields'].get('M', '')[:80]}", events)
+            self._fail(
+                f"the server ended the session: {found.fields['fields'].get('M', '')[:80]}", events
+            )
         elif self.phase is Phase.STARTING:
             self._handle_startup(found, events)
         elif self.phase is Phase.OPEN:
             self._handle_response(found, events)
         else:
-            self._fail(f"{found.name} with nothing asked", events)
+            self._fail(f"{found.name} while no group is open", events)
 
     def _handle_startup(self, found: Message, events: list[ClientData | Ready | Broken]) -> None:
         if found.name == "Authentication" and found.fields["code"] == 0:
@@ -313,16 +320,15 @@
             self.phase = Phase.READY
             events.append(Ready(found.fields["state"]))
         elif found.name != "NegotiateProtocolVersion":
-            self._fail(
-                f"{found.name} at the start", events
-            )  # a password that is not configured, or an error
+            # The server requests a password, and none is configured, or it reports an error.
+            self._fail(f"{found.name} during start-up", events)
 
     def _handle_response(self, found: Message, events: list[ClientData | Ready | Broken]) -> None:
         if not self.expected:
-            self._fail(f"{found.name} with nothing due", events)
+            self._fail(f"{found.name} while no response is expected", events)
             return
         if found.name in COPY_RESPONSES:
-            # Guards the stream: the server now speaks COPY, and no client here was told how.
+            # The stream now follows the COPY protocol, and COPY isn't supported for clients here.
             self._fail("the server began a COPY", events)
             return
         expected = self.expected[0]
@@ -330,7 +336,7 @@
             self._handle_error(found, events)
             return
         if self.skipping and expected.request != "Sync":
-            self._fail(f"{found.name} behind an error", events)
+            self._fail(f"{found.name} after an error, before the response to Sync", events)
             return
         self.progress = GroupProgress.RESPONSE_STARTED
         if found.name in FINAL_RESPONSES[expected.request]:
@@ -349,19 +355,18 @@
                 events.append(Ready(found.fields["state"]))
 
     def _handle_error(self, found: Message, events: list[ClientData | Ready | Broken]) -> None:
-        """What is left of the group is skipped by the server, answers that would be events here with it."""
+        """Skip the remaining messages of the group, as the server does, and drop their local responses too."""
         self.progress = GroupProgress.RESPONSE_STARTED
         events.append(ClientData(found.raw, found))
         self.skipping = True
         while self.expected and self.expected[0].request != "Sync":
             expected = self.expected.popleft()
             if expected.statement_key is not None:
-                self.session.forget_statement(
-                    expected.statement_key
-                )  # it did not take it, or did not come to it
+                # The server rejected this Parse or skipped it.
+                self.session.forget_statement(expected.statement_key)
 
 
 def _statement_key(parse: Message) -> str:
-    """What makes two Parses the same: the text and the types that were stated."""
+    """Return the key that equal statements share: the text and the stated parameter types."""
     types = ",".join(map(str, parse.fields["types"]))
     return f"{types};{parse.fields['text']}"
--- a/umberusher/pg/session.py
+++ b/umberusher/pg/session.py
@@ -1,12 +1,13 @@
-"""A client's session as a machine of states, without I/O: bytes in, replies and requests out.
+"""The state machine of a client's session, without I/O: takes the client's bytes, emits replies and requests.
 
-Owns what a client may do when, and what one request is. START -> (SSL) -> AUTH -> IDLE -> GROUP -> ... -> OVER.
+This module decides which messages a client may send in which state, and which of them form one request. The states are
+START -> (SSL) -> AUTH -> IDLE -> GROUP -> ... -> OVER.
 
-A group is all up to Sync, or one Query. It becomes a request once the client wants an answer: at its Sync, or at a
-Flush before that (asyncpg describes a statement and waits before it binds). What comes behind belongs to the same
-request until Sync. Groups of a pipeline wait in order; the next one is asked for when the one before is ready. What
-comes behind an error up to Sync is the server's to skip where the group went to one, and the session's where it did
-not.
+A group is either all messages up to a Sync or one Query. It becomes a request once the client waits for a response: at
+its Sync, or at an earlier Flush (asyncpg describes a statement and waits before it binds). Later messages up to the
+Sync belong to the same request. Groups of a pipeline are queued in order; the request of the next one begins when the
+previous group is complete. After an error the messages up to the Sync are skipped: by the server if the group was sent
+to one, otherwise by the session.
 """
 
 from __future__ import annotations
@@ -20,20 +21,18 @@
 from umberusher.pg.codec import Decoder, Message, Unreadable, message
 from umberusher.pg.messages import Side
 
-MAX_GROUPS = 64  # of a pipeline that wait, before the client is read no more
-MAX_GROUP_BYTES = 4 << 20  # of one group: guards memory against a Sync that never comes
-MAX_PREPARED_STATEMENTS, MAX_STATEMENT_BYTES = (
-    16_384,
-    16 << 20,
-)  # prepared in one session; their texts together
-MAX_ENCRYPTION_REQUESTS = (
-    2  # requests for encryption before the start: one of each kind, as libpq may ask
-)
+# With that many groups of a pipeline pending, reading from the client pauses.
+MAX_GROUPS = 64
+MAX_GROUP_BYTES = 4 << 20  # bounds memory if the Sync never arrives
+# Limits of one session; the bytes are those of all its Parse messages together.
+MAX_PREPARED_STATEMENTS, MAX_STATEMENT_BYTES = 16_384, 16 << 20
+# Before the start-up message; libpq may send one request of each kind, SSL and GSS.
+MAX_ENCRYPTION_REQUESTS = 2
 PROTOCOL_MAJOR = 3
 
 
 class State(Enum):
-    """Where a session stands."""
+    """The state of a session."""
 
     START = "start"
     AUTH = "authentication"
@@ -43,7 +42,7 @@
 
 
 class Answered(Enum):
-    """What a request that brought no result tells its client: SQLSTATE, text, whether doubt is left."""
+    """The errors for requests without a result: SQLSTATE, text, and whether the request may have run."""
 
     REFUSED = ("53300", "the broker is full", False)
     EXPIRED = ("57014", "the time was over before it was sent", False)
@@ -59,7 +58,7 @@
 def error(
     answered: Answered, text: str = "", retry_ms: float | None = None, severity: str = "ERROR"
 ) -> bytes:
-    """An ErrorResponse; the hint tells never-ran from may-have-run, and how long to stay away."""
+    """Encode an ErrorResponse; the hint says whether the request may have run, and after how long to retry."""
     code, default_text, may_have_run = answered.value
     hint = "may have run" if may_have_run else "never ran"
     if retry_ms is not None:
@@ -73,22 +72,22 @@
 
 @dataclass(slots=True)
 class Group:
-    """One request: its messages, as they came."""
+    """The messages of one request, in the order of their arrival."""
 
     parts: list[Message] = field(default_factory=list)
     size_bytes: int = 0
-    whole: bool = False  # its Sync, or its Query, is here
-    asked: bool = False
-    forwarded: int = 0  # parts that were handed on
-    failed: bool = False  # answered with an error here: what is left of it is skipped
+    whole: bool = False  # its Sync or Query has arrived
+    asked: bool = False  # its request has begun
+    forwarded: int = 0  # the number of parts that the owner has received
+    failed: bool = False  # answered with an error here; its remaining messages are skipped
 
     @property
     def simple(self) -> bool:
-        """Whether it is one Query."""
+        """Whether the group is one Query."""
         return bool(self.parts) and self.parts[0].name == "Query"
 
     def texts(self, statements: Mapping[str, Message]) -> list[str]:
-        """The texts that it runs or prepares, by which it is classed."""
+        """Return the texts that the group runs or prepares; the request is classified by them."""
         found = []
         for part in self.parts:
             if part.name in ("Query", "Parse"):
@@ -98,7 +97,7 @@
         return found
 
 
-# What a session gives its owner.
+# Events that a session emits for its owner.
 
 
 @dataclass(slots=True, frozen=True)
@@ -110,42 +109,45 @@
 
 @dataclass(slots=True, frozen=True)
 class Encrypt:
-    """The client wants TLS: the owner answers ``S`` and shakes hands, or ``N``; ``gss`` is always ``N``."""
+    """The client requests encryption.
+
+    The owner answers ``S`` and performs the TLS handshake, or answers ``N``; for ``gss`` the answer is always ``N``.
+    """
 
     gss: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Login:
-    """A client has said who it is: the owner authenticates it and calls ``admit`` or ``reject``."""
+    """The start-up message arrived: the owner authenticates the client and calls ``admit`` or ``reject``."""
 
     options: Mapping[str, str]
 
 
 @dataclass(slots=True, frozen=True)
 class AuthenticationResponse:
-    """A message of authentication."""
+    """The client's response to an authentication request: a password or a SASL message."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """A request begins; the owner has it routed, and takes its messages by ``more``."""
+    """A request begins: the owner routes it and gets its messages from ``more``."""
 
     group: Group
 
 
 @dataclass(slots=True, frozen=True)
 class More:
-    """The request that is open has further messages."""
+    """The open request has further messages."""
 
     group: Group
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Not a session: a client wants a request of another one stopped."""
+    """The connection is no session: a client wants a request of another session cancelled."""
 
     pid: int
     secret: bytes
@@ -153,7 +155,7 @@
 
 @dataclass(slots=True, frozen=True)
 class End:
-    """Close the connection once all is written."""
+    """Close the connection once all output is written."""
 
     reason: str
 
@@ -169,36 +171,39 @@
 
 
 class FrontSession:
-    """One client. ``feed`` takes its bytes, the calls below are the owner's answers, ``events`` wait for the owner."""
+    """The session of one client.
+
+    ``feed`` accepts the client's bytes; ``events`` queues events for the owner, which replies by calling the methods
+    below.
+    """
 
     def __init__(self, pid: int, secret: bytes) -> None:
         self.decoder = Decoder(Side.FRONT, starting=True)
         self.state, self.pid, self.secret = State.START, pid, secret
         self.events: deque[Event] = deque()
         self.options: dict[str, str] = {}
-        self.encryption_requests = 0  # requests for encryption
-        self.waits = (
-            False  # for the owner's word on encryption, authentication or the groups before
-        )
-        self.groups: deque[Group] = deque()  # the first is asked, if any is
-        self.statements: dict[str, Message] = {}  # that are prepared, by the client's name
+        self.encryption_requests = 0
+        # Input is not processed until the owner has replied about encryption or authentication.
+        self.waits = False
+        self.groups: deque[Group] = deque()  # only the first one's request may have begun
+        self.statements: dict[str, Message] = {}  # Parse messages by the client's statement names
         self.statement_bytes = 0
-        self.transaction_status = "I"  # as the last ReadyForQuery said
+        self.transaction_status = "I"  # of the last ReadyForQuery
 
     # -- From the client
 
     def feed(self, data: bytes) -> None:
-        """Take bytes of the client."""
+        """Accept bytes of the client."""
         self.decoder.feed(data)
         self.process_input()
 
     @property
     def paused(self) -> bool:
-        """Whether the client is to be read no more for now."""
+        """Whether reading from the client is paused or has ended."""
         return self.state is State.OVER or len(self.groups) >= MAX_GROUPS
 
     def process_input(self) -> None:
-        """Go on with what has come."""
+        """Process the messages that have arrived."""
         while self.state is not State.OVER and not self.waits and len(self.groups) < MAX_GROUPS:
             found = self.decoder.next()
             if found is None:
@@ -218,10 +223,9 @@
         self.events.append(End(reason))
 
     def _violation(self, reason: str) -> None:
-        """The stream makes no sense any more."""
-        if (
-            self.state is not State.START
-        ):  # before that a client may speak anything: nothing is told to it
+        """End the session because the stream violates the protocol."""
+        # Before the start-up message the client may speak any protocol, so no error is sent to it.
+        if self.state is not State.START:
             self.events.append(
                 Write(error(Answered.PROTOCOL, f"protocol violation: {reason}", severity="FATAL"))
             )
@@ -231,15 +235,15 @@
         if found.name in ("SSLRequest", "GSSENCRequest"):
             self.encryption_requests += 1
             if self.encryption_requests > MAX_ENCRYPTION_REQUESTS or self.decoder.unread_bytes:
-                # Bytes behind the request came unencrypted; taken as if they had been, they are an injection
-                # (CVE-2021-23214).
-                self._end("encryption is asked for again, or bytes came behind it")
+                # Bytes after the request arrived unencrypted. Treated as part of the encrypted stream, they would
+                # allow an injection (CVE-2021-23214).
+                self._end("too many encryption requests, or unencrypted bytes after one")
                 return
             self.waits = True
             self.events.append(Encrypt(found.name == "GSSENCRequest"))
         elif found.name == "CancelRequest":
             self.events.append(Cancel(found.fields["pid"], found.fields["secret"]))
-            self._end("a cancel request")
+            self._end("the connection was for a cancel request")
         else:
             self._on_startup_message(found)
 
@@ -255,7 +259,7 @@
                     )
                 )
             )
-            self._end("an unknown protocol")
+            self._end("unsupported protocol version")
             return
         options = found.fields["options"]
         unknown = [name for name in options if name.startswith("_pq_.")]
@@ -265,7 +269,7 @@
             )
         if not options.get("user"):
             self.events.append(Write(error(Answered.AUTH, "no user is named", severity="FATAL")))
-            self._end("no user")
+            self._end("the start-up message names no user")
             return
         if options.get("replication", "false").lower() not in ("false", "off", "no", "0"):
             self.events.append(
@@ -304,7 +308,7 @@
             self._skip_message(group, name)
             return
         if name in UNSUPPORTED_MESSAGES:
-            if name != "FunctionCall":  # what is left of a COPY that was turned away
+            if name != "FunctionCall":  # the remaining messages of a rejected COPY
                 return
             group.whole = True
             self._fail(
@@ -330,7 +334,7 @@
             self._request_group(group)
 
     def _current_group(self) -> Group:
-        """The group that messages now belong to."""
+        """Return the group that the next message belongs to; create it if needed."""
         if not self.groups or self.groups[-1].whole:
             self.groups.append(Group())
             self.state = State.GROUP
@@ -349,15 +353,15 @@
                 self._send_ready()
 
     def _request_group(self, group: Group) -> None:
-        """The client waits for an answer to what has come of a group."""
+        """Begin or continue the request of a group: the client waits for responses to its messages."""
         if self.groups[0] is not group:
-            return  # it is asked for once those before it are over
+            return  # its request begins once the groups before it are complete
         if group.asked:
             self.events.append(More(group))
         elif not any(
             part.name in EXTENDED_QUERY_MESSAGES or part.name == "Query" for part in group.parts
         ):
-            if group.whole:  # Sync alone, as a client's way to ask whether anyone is there
+            if group.whole:  # a Sync alone, which a client sends to check the connection
                 self._send_ready()
         else:
             group.asked = True
@@ -366,12 +370,12 @@
     # -- From the owner
 
     def encrypted(self) -> None:
-        """The word on encryption was written, and hands were shaken where it was yes."""
+        """Resume after the answer to an encryption request, and the TLS handshake if there was one."""
         self.waits = False
         self.process_input()
 
     def admit(self, parameters: Mapping[str, str]) -> None:
-        """The client is who it says."""
+        """Complete the start-up of an authenticated client."""
         output = [message(Side.BACK, "Authentication", code=0, data=b"")]
         output += [
             message(Side.BACK, "ParameterStatus", name=name, value=value)
@@ -384,18 +388,18 @@
         self.process_input()
 
     def challenge(self, code: int, data: bytes) -> None:
-        """Authentication goes on."""
+        """Send the client a further authentication request."""
         self.events.append(Write(message(Side.BACK, "Authentication", code=code, data=data)))
         self.waits = False
         self.process_input()
 
     def reject(self, text: str = "") -> None:
-        """The client is not let in."""
+        """Reject the client and end the session."""
         self.events.append(Write(error(Answered.AUTH, text, severity="FATAL")))
-        self._end("not let in")
+        self._end("authentication failed")
 
     def more(self) -> list[Message]:
-        """Messages of the open request that were not handed on yet; none where they went with those before."""
+        """Return the messages of the open request that were not returned before."""
         if not self.groups or not self.groups[0].asked:
             return []
         group = self.groups[0]
@@ -403,7 +407,7 @@
         return found
 
     def record_forwarded(self, found: Message) -> None:
-        """A message of the server went to the client; completes what the session must know of it."""
+        """Update the session after a message of the server was forwarded to the client."""
         if not self.groups:
             return
         if found.name == "ParseComplete":
@@ -415,7 +419,7 @@
             self._finish_group()
 
     def _on_parse_complete(self) -> None:
-        """The first Parse of the group that was not seen done yet is."""
+        """Record the statement of the group's first Parse that was not completed before."""
         parse = self._complete_first("Parse")
         if parse is not None:
             name = parse.fields["name"]
@@ -433,20 +437,21 @@
         group = self.groups[0]
         for number, part in enumerate(group.parts):
             if part.name == name:
-                # Done: it must not be found for the next completion. Its place stays, so that ``forwarded`` holds.
+                # The new name keeps the next completion from finding it again. The message stays in the list, so that
+                # ``forwarded`` remains valid.
                 group.parts[number] = part._replace(name=f"{name} done")
                 return part
         return None
 
     def fail(self, answered: Answered, text: str = "", retry_ms: float | None = None) -> None:
-        """The open request has an answer that is no server's; the client may go on behind its Sync."""
+        """Answer the open request with an error of the broker; the client may continue after its Sync."""
         if self.groups:
             self._fail(self.groups[0], error(answered, text, retry_ms))
 
     def _fail(self, group: Group, error_response: bytes) -> None:
         group.failed = True
         group.parts, group.forwarded = [], 0
-        if self.groups[0] is not group:  # those before it are answered first
+        if self.groups[0] is not group:  # the groups before it are answered first
             group.parts = [Message("ErrorResponse", {}, error_response)]
             return
         self.events.append(Write(error_response))
@@ -454,14 +459,14 @@
             self._send_ready()
 
     def _send_ready(self) -> None:
-        """ReadyForQuery of the session's own; a failed transaction on a server is told by the server itself."""
+        """Send a ReadyForQuery of the session; a failed transaction on a server is reported by the server itself."""
         self.events.append(
             Write(message(Side.BACK, "ReadyForQuery", state=self.transaction_status))
         )
         self._finish_group()
 
     def _finish_group(self) -> None:
-        """The first group is over: go on with the one behind it."""
+        """Remove the first group, which is complete, and continue with the next one."""
         self.groups.popleft()
         self.state = State.GROUP if self.groups else State.IDLE
         if self.groups:
@@ -476,5 +481,8 @@
         self.process_input()
 
     def matches(self, secret: bytes) -> bool:
-        """Whether a cancel request is this session's; in constant time, for the secret is all that guards it."""
+        """Whether a cancel request is for this session.
+
+        The comparison takes constant time, because the secret is the only protection.
+        """
         return hmac.compare_digest(self.secret, secret)
