--- a/tests/test_pg_codec.py
+++ b/tests/test_pg_codec.py
@@ -1,4 +1,8 @@
-"""The PostgreSQL codec: both halves, in pieces of any size, and every bound."""
+"""The PostgreSQL codec decodes what it encoded, in pieces of any size, and enforces every length limit.
+
+A decoder that depends on how the bytes are split would fail at random with the packets of the network; one without
+limits would let a peer claim a length and take the memory for it.
+"""
 
 from __future__ import annotations
 
@@ -142,7 +146,7 @@
         ),
     ],
 )
-def test_a_connection_begins_with_messages_that_have_no_type(data, name, fields):
+def test_messages_before_the_end_of_startup_have_no_type_byte(data, name, fields):
     decoder = Decoder(Side.FRONT, starting=True)
     assert drain(decoder, [bytes([each]) for each in data]) == [Message(name, fields, data)]
     decoder.finish_startup()
@@ -151,7 +155,7 @@
 
 
 @pytest.mark.parametrize("size", [0, 4, 7, 10_005, 2**31 - 1, -1])
-def test_a_start_up_packet_out_of_bounds_is_said_after_four_bytes(size):
+def test_startup_packet_out_of_bounds_is_rejected_after_four_bytes(size):
     decoder = Decoder(Side.FRONT, starting=True)
     decoder.feed(struct.pack(">i", size))
     assert isinstance(decoder.next(), Unreadable)
@@ -170,11 +174,11 @@
         (b"X", 16 * 1024 + 5),
     ],
 )
-def test_a_message_out_of_bounds_is_said_before_its_body_comes(code, size):
+def test_message_out_of_bounds_is_rejected_before_its_body_arrives(code, size):
     decoder = Decoder(Side.FRONT)
     decoder.feed(code + struct.pack(">i", size))
     found = decoder.next()
-    if code == b"S":  # a body where there is none is seen once it has come
+    if code == b"S":  # a body of a message that has none is rejected once it has arrived
         assert found is None
         decoder.feed(b"x")
         found = decoder.next()
@@ -191,26 +195,26 @@
         b"B" + struct.pack(">i", 4 + 12) + b"\0\0\0\0\0\x01" + struct.pack(">i", -2) + b"\0\0",
     ],
 )
-def test_a_body_that_is_not_of_its_kind_ends_the_stream(data):
+def test_body_that_does_not_match_its_message_type_ends_the_stream(data):
     assert isinstance(drain(Decoder(Side.FRONT), [data])[-1], Unreadable)
 
 
-def test_a_text_with_a_zero_byte_and_a_message_over_its_bound_are_never_made():
+def test_encoder_rejects_a_zero_byte_in_a_text_and_a_body_over_its_limit():
     with pytest.raises(ValueError, match="zero byte"):
         message(Side.FRONT, "Query", text="a\0b")
     with pytest.raises(ValueError, match="at most"):
         message(Side.FRONT, "Query", text="x" * (1 << 20))
 
 
-def test_nothing_is_scanned_again_and_what_was_read_is_given_back():
+def test_large_message_in_pieces_is_decoded_and_consumed_bytes_are_freed():
     decoder = Decoder(Side.FRONT)
     data = message(Side.FRONT, "Query", text="x" * 1_000_000)
-    looked = 0
+    decode_calls = 0
     for at in range(0, len(data), 1_000):
         decoder.feed(data[at : at + 1_000])
-        looked += 1
+        decode_calls += 1
         found = decoder.next()
-    assert found.name == "Query" and looked > 1_000 and not decoder.buffer
+    assert found.name == "Query" and decode_calls > 1_000 and not decoder.buffer
     small = message(Side.FRONT, "Sync")
     for _ in range(100_000):
         decoder.feed(small)
--- a/tests/test_pg_pool.py
+++ b/tests/test_pg_pool.py
@@ -1,4 +1,8 @@
-"""The pool of a node's PostgreSQL sessions: whom they serve, what they have prepared, and that none is used unclean."""
+"""The pool of a node's PostgreSQL sessions: assignment to clients, prepared statements and cleaning.
+
+Guards against a client that gets a session with another client's open transaction or settings, which happens when a
+session is assigned again before it is cleaned.
+"""
 
 from __future__ import annotations
 
@@ -10,37 +14,37 @@
 from umberusher.pg.pool import Cleaning, Pool, ServerSession, Standing
 
 
-def test_a_transaction_pins_its_session_and_its_end_frees_it():
-    found = Pool(2)
-    one, two = found.open(), found.open()
-    found.up(one)
-    found.up(two)
-    assert found.take("kim") is one
-    assert found.ready(one, "T", True) is Cleaning.NOTHING and one.standing is Standing.PINNED
-    assert found.take("lee") is two and found.take("lou") is None and found.full
-    assert found.take("kim") is one
-    assert found.ready(one, "I", True) is Cleaning.NOTHING and found.take("lou") is one
+def test_transaction_pins_its_session_until_it_ends():
+    node_pool = Pool(2)
+    one, two = node_pool.open(), node_pool.open()
+    node_pool.up(one)
+    node_pool.up(two)
+    assert node_pool.take("kim") is one
+    assert node_pool.ready(one, "T", True) is Cleaning.NOTHING and one.standing is Standing.PINNED
+    assert node_pool.take("lee") is two and node_pool.take("lou") is None and node_pool.full
+    assert node_pool.take("kim") is one
+    assert node_pool.ready(one, "I", True) is Cleaning.NOTHING and node_pool.take("lou") is one
 
 
-def test_a_client_that_leaves_in_a_transaction_has_it_rolled_back_before_the_session_is_used_again():
-    found = Pool(2)
-    one = found.open()
-    found.up(one)
-    found.take("kim")
-    found.ready(one, "T", True)
-    assert found.left("kim") == [(one, Cleaning.ROLLBACK)] and found.take("lee") is None
-    assert found.cleaned(one, "I") is Cleaning.NOTHING and found.take("lee") is one
-    assert found.left("lee") == [(one, Cleaning.CLOSE)] and not found.sessions
+def test_transaction_of_a_disconnected_client_is_rolled_back_before_the_session_is_reused():
+    node_pool = Pool(2)
+    one = node_pool.open()
+    node_pool.up(one)
+    node_pool.take("kim")
+    node_pool.ready(one, "T", True)
+    assert node_pool.left("kim") == [(one, Cleaning.ROLLBACK)] and node_pool.take("lee") is None
+    assert node_pool.cleaned(one, "I") is Cleaning.NOTHING and node_pool.take("lee") is one
+    assert node_pool.left("lee") == [(one, Cleaning.CLOSE)] and not node_pool.sessions
 
 
-def test_statements_are_bounded_and_names_are_never_used_again(monkeypatch):
+def test_statements_of_a_session_are_bounded_and_names_are_never_reused(monkeypatch):
     monkeypatch.setattr(pool, "MAX_PREPARED_STATEMENTS", 3)
     one = ServerSession(1)
     names = [one.prepare(f"select {n}") for n in range(3)]
     assert one.prepared_name("select 0") == names[0][0]
-    name, old = one.prepare("select 9")
+    name, evicted = one.prepare("select 9")
     assert (
-        old == names[1][0]
+        evicted == names[1][0]
         and name not in [each for each, _ in names]
         and one.prepared_name("select 1") is None
     )
@@ -48,19 +52,19 @@
     assert one.prepared_name("select 9") is None and one.prepare("select 9")[0] != name
 
 
-def test_a_drain_closes_what_is_idle_and_the_others_when_they_are_over():
-    found = Pool(4)
-    one, two, three = found.open(), found.open(), found.open()
-    found.up(one)
-    found.up(two)
-    assert found.take("kim") in (one, two)
+def test_drain_closes_idle_sessions_at_once_and_pinned_ones_after_their_transaction():
+    node_pool = Pool(4)
+    one, two, three = node_pool.open(), node_pool.open(), node_pool.open()
+    node_pool.up(one)
+    node_pool.up(two)
+    assert node_pool.take("kim") in (one, two)
     busy = one if one.owner else two
-    found.ready(busy, "T", True)
-    assert len(found.drain()) == 2 and found.full and found.take("lee") is None
-    assert found.take("kim") is busy  # its transaction ends where it is
+    node_pool.ready(busy, "T", True)
+    assert len(node_pool.drain()) == 2 and node_pool.full and node_pool.take("lee") is None
+    assert node_pool.take("kim") is busy  # the transaction ends on the session where it began
     assert (
-        found.ready(busy, "I", True) is Cleaning.CLOSE
-        and not found.sessions
+        node_pool.ready(busy, "I", True) is Cleaning.CLOSE
+        and not node_pool.sessions
         and three.standing is Standing.CLOSED
     )
 
--- a/tests/test_pg_session.py
+++ b/tests/test_pg_session.py
@@ -1,4 +1,8 @@
-"""A PostgreSQL client's session: start, groups, pipelines, errors, limits, and random streams."""
+"""The session of a PostgreSQL client: start-up, groups, pipelines, errors, limits and random streams.
+
+Guards against a client that waits forever or misreads a response: each group must end in one ReadyForQuery, in the
+order of the groups, and only one request may be open at a time.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +54,7 @@
 
 
 def written(made: list) -> list[tuple[str, str]]:
-    """What the client reads: names, and an error's SQLSTATE or the state of being ready."""
+    """Decode what the client receives: message names with an error's SQLSTATE or the transaction status."""
     decoder, seen = Decoder(Side.BACK), []
     decoder.feed(b"".join(each.data for each in made if isinstance(each, Write)))
     while (each := decoder.next()) is not None:
@@ -75,7 +79,7 @@
 
 
 def served(found: FrontSession, *names: str, state: str = "I") -> None:
-    """The server's messages for the open request went to the client."""
+    """Record that the server's messages for the open request were forwarded to the client."""
     values = {"CommandComplete": {"tag": "SELECT 1"}, "ErrorResponse": {"fields": {"C": "42601"}}}
     decoder = Decoder(Side.BACK)
     for name in names:
@@ -85,10 +89,10 @@
     found.record_forwarded(decoder.next())
 
 
-# -- The start
+# -- Start-up
 
 
-def test_encryption_is_asked_for_before_the_start_and_bytes_behind_it_are_an_injection():
+def test_encryption_is_requested_before_startup_and_unencrypted_bytes_after_it_end_the_session():
     ssl = struct.pack(">iI", 8, messages.SSL_REQUEST)
     found = FrontSession(1, b"s")
     found.feed(ssl)
@@ -110,29 +114,31 @@
 
 
 @pytest.mark.parametrize(
-    "version, told",
+    "version, response",
     [
         (3 << 16 | 2, "NegotiateProtocolVersion"),
         (2 << 16, "ErrorResponse"),
         (4 << 16, "ErrorResponse"),
     ],
 )
-def test_other_versions_are_negotiated_or_turned_away(version, told):
+def test_other_versions_are_negotiated_or_rejected(version, response):
     found = FrontSession(1, b"s")
     found.feed(front("StartupMessage", version=version, options={"user": "kim", "_pq_.x": "1"}))
     made = events(found)
-    assert written(made)[0][0] == told and isinstance(made[-1], Login if told[0] == "N" else End)
+    assert written(made)[0][0] == response and isinstance(
+        made[-1], Login if response[0] == "N" else End
+    )
 
 
 @pytest.mark.parametrize("options", [{"database": "x"}, {"user": "kim", "replication": "true"}])
-def test_a_start_without_a_user_or_for_replication_is_turned_away(options):
+def test_startup_without_a_user_or_for_replication_is_rejected(options):
     found = FrontSession(1, b"s")
     found.feed(front("StartupMessage", version=196_608, options=options))
     made = events(found)
     assert written(made)[0][0] == "ErrorResponse" and isinstance(made[-1], End)
 
 
-def test_authentication_goes_back_and_forth_and_ends_in_an_error_for_who_is_not_let_in():
+def test_authentication_is_an_exchange_of_messages_that_a_rejection_ends_with_an_error():
     found = FrontSession(1, b"s")
     found.feed(START)
     events(found)
@@ -153,7 +159,7 @@
     assert isinstance(events(found)[-1], End)
 
 
-def test_a_cancel_request_is_no_session_and_its_secret_is_compared():
+def test_cancel_request_opens_no_session_and_its_secret_is_compared():
     found = FrontSession(1, b"s")
     found.feed(front("CancelRequest", number=messages.CANCEL_REQUEST, pid=7, secret=b"secret"))
     assert events(found)[0] == Cancel(7, b"secret") and found.state is State.OVER
@@ -163,14 +169,16 @@
 # -- Groups
 
 
-def test_a_group_is_asked_for_at_its_sync_and_handed_on_once():
+def test_group_becomes_a_request_at_its_sync_and_is_returned_once():
     found = ready()
     found.feed(parse() + bind() + EXECUTE)
     assert not events(found) and not found.more()
     found.feed(SYNC)
-    (asked,) = events(found)
+    (request,) = events(found)
     assert (
-        isinstance(asked, Ask) and asked.group.texts({}) == ["select 1"] and not asked.group.simple
+        isinstance(request, Ask)
+        and request.group.texts({}) == ["select 1"]
+        and not request.group.simple
     )
     assert [part.name for part in found.more()] == [
         "Parse",
@@ -182,7 +190,7 @@
     assert found.state is State.IDLE and not found.groups
 
 
-def test_a_flush_asks_early_and_what_follows_is_of_the_same_request():
+def test_flush_begins_the_request_early_and_later_messages_belong_to_it():
     found = ready()
     found.feed(parse(name="s1") + front("Describe", what="S", name="s1") + FLUSH)
     assert isinstance(events(found)[0], Ask) and len(found.more()) == 3
@@ -194,28 +202,28 @@
     assert set(found.statements) == {"s1"}
 
 
-def test_groups_of_a_pipeline_are_asked_for_one_after_the_other_in_order():
+def test_groups_of_a_pipeline_become_requests_one_at_a_time_in_order():
     found = ready()
     found.feed(b"".join(front("Query", text=f"select {n}") for n in range(5)))
     order = []
     for _ in range(5):
-        (asked,) = events(found)
-        order.append(asked.group.texts({})[0])
+        (request,) = events(found)
+        order.append(request.group.texts({})[0])
         found.more()
         served(found, "CommandComplete")
     assert order == [f"select {n}" for n in range(5)] and not events(found)
 
 
-def test_a_flush_in_a_group_that_had_to_wait_is_asked_for_in_its_turn():
+def test_flush_in_a_queued_group_begins_its_request_once_the_group_is_first():
     found = ready()
     found.feed(front("Query", text="select 1") + parse() + FLUSH)
     events(found)
     served(found, "CommandComplete")
-    (asked,) = events(found)
-    assert asked.group.texts({}) == ["select 1"] and not asked.group.whole
+    (request,) = events(found)
+    assert request.group.texts({}) == ["select 1"] and not request.group.whole
 
 
-def test_a_client_with_too_many_groups_is_read_no_more_until_some_are_over():
+def test_reading_pauses_while_too_many_groups_are_pending():
     found = ready()
     found.feed(front("Query", text="select 1") * (MAX_GROUPS + 9))
     assert found.paused and len(found.groups) == MAX_GROUPS and found.decoder.unread_bytes
@@ -224,7 +232,7 @@
     assert not found.paused and not found.groups and not found.decoder.unread_bytes
 
 
-def test_a_sync_alone_is_answered_here_with_the_state_of_the_transaction():
+def test_sync_alone_is_answered_locally_with_the_transaction_status():
     found = ready()
     found.feed(front("Query", text="begin"))
     events(found)
@@ -242,7 +250,7 @@
         (Answered.EXPIRED_MAY_HAVE_RUN, "57014", "may have run"),
     ],
 )
-def test_an_answer_that_is_no_server_s_tells_never_ran_from_may_have_run(answered, code, hint):
+def test_error_of_the_broker_says_whether_the_request_may_have_run(answered, code, hint):
     found = ready()
     found.feed(parse() + bind() + EXECUTE + SYNC)
     events(found)
@@ -252,7 +260,7 @@
     assert f"H{hint}\0".encode() in made[0].data and found.state is State.IDLE
 
 
-def test_a_failure_before_the_sync_skips_what_follows_and_the_next_group_lives():
+def test_failure_before_the_sync_skips_the_group_and_the_next_group_is_served():
     found = ready()
     found.feed(parse() + FLUSH)
     events(found)
@@ -265,7 +273,7 @@
     assert written(made) == [("ReadyForQuery", "I")] and isinstance(made[-1], Ask)
 
 
-def test_what_is_not_spoken_here_is_refused_in_its_turn():
+def test_unsupported_message_is_rejected_in_order():
     found = ready()
     found.feed(
         front("Query", text="select 1")
@@ -296,9 +304,9 @@
     assert set(found.statements) == {"a", "c"}
     assert found.statement_bytes == sum(len(each.raw) for each in found.statements.values())
     found.feed(parse(name="e") + bind("a") + SYNC)
-    (asked,) = events(found)
-    assert asked.group.texts(found.statements) == ["select 1", "select 1"]
-    served(found, "ErrorResponse")  # the server did not take it
+    (request,) = events(found)
+    assert request.group.texts(found.statements) == ["select 1", "select 1"]
+    served(found, "ErrorResponse")  # the server rejected the Parse
     assert "e" not in found.statements
 
 
