--- a/umberusher/capacity/budget_rows.py
+++ b/umberusher/capacity/budget_rows.py
@@ -19,8 +19,8 @@
 class Verdict(StrEnum):
     """Whether a budget is kept; the value is its word on the page."""
 
-    HELD = "held"
-    PASSED = "passed"
+    MET = "held"
+    EXCEEDED = "passed"
     UNKNOWN = NOT_MEASURED
     UNBOUNDED = NO_BUDGET
 
@@ -133,7 +133,7 @@
     def mechanism(self) -> str:
         """Return what carries the row, or what is missing."""
         definition = self.definition
-        if self.verdict != Verdict.PASSED and definition.mechanism:
+        if self.verdict != Verdict.EXCEEDED and definition.mechanism:
             return definition.mechanism
         if definition.missing_mechanism:
             return f"missing: {definition.missing_mechanism}"
@@ -148,8 +148,8 @@
     if budget is None:
         return Verdict.UNBOUNDED
     if estimate.value is None:
-        return Verdict.PASSED if estimate.unreached_reason else Verdict.UNKNOWN
-    return Verdict.HELD if estimate.value <= budget else Verdict.PASSED
+        return Verdict.EXCEEDED if estimate.unreached_reason else Verdict.UNKNOWN
+    return Verdict.MET if estimate.value <= budget else Verdict.EXCEEDED
 
 
 def evaluate(roles: Iterable[Role], costs: MeasuredCosts, earlier_version: str) -> list[Row]:
@@ -188,6 +188,6 @@
     return Row(role, definition, now, budget, judge(now, budget), before)
 
 
-def passed_rows(rows: Iterable[Row]) -> list[Row]:
+def exceeded_rows(rows: Iterable[Row]) -> list[Row]:
     """Return the rows whose budget is passed."""
-    return [row for row in rows if row.verdict == Verdict.PASSED]
+    return [row for row in rows if row.verdict == Verdict.EXCEEDED]
--- a/umberusher/capacity/page.py
+++ b/umberusher/capacity/page.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-from umberusher.capacity.budget_rows import Row, passed_rows
+from umberusher.capacity.budget_rows import Row, exceeded_rows
 from umberusher.capacity.plan import Plan
 from umberusher.capacity.units import COUNTED_UNITS, Quantity, UnitError
 
@@ -154,7 +154,7 @@
     """Return the passed budgets that the page does not tell, or not what is missing."""
     faults = []
     lines = block.lines if block else []
-    for row in passed_rows(rows):
+    for row in exceeded_rows(rows):
         description = row.definition.description
         figure = row.format_estimate(row.now)
         if not any(description in line and figure in line for line in lines):
--- a/umberusher/capacity/tables.py
+++ b/umberusher/capacity/tables.py
@@ -11,8 +11,8 @@
     Row,
     Verdict,
     evaluate,
+    exceeded_rows,
     judge,
-    passed_rows,
 )
 from umberusher.capacity.estimates import BASIS_WORDS, Basis, Estimate
 from umberusher.capacity.measured_costs import MeasuredCosts
@@ -131,7 +131,7 @@
         definition.description,
         row.format_estimate(now),
         row.format_budget(),
-        f"**{row.verdict}**" if row.verdict == Verdict.PASSED else row.verdict,
+        f"**{row.verdict}**" if row.verdict == Verdict.EXCEEDED else row.verdict,
         _marked(_known_by(now), now),
         _before(row),
         ", ".join(runs) or NONE,
@@ -150,7 +150,7 @@
     if row.now.basis is Basis.PLANNED:
         return "the same" if row.before == row.now else row.format_estimate(row.before)
     text = _marked(row.format_estimate(row.before), row.before)
-    if judge(row.before, row.budget) == Verdict.PASSED:
+    if judge(row.before, row.budget) == Verdict.EXCEEDED:
         text += ", **passed**"
     return text
 
@@ -167,7 +167,7 @@
 
 def passed_table(rows: Iterable[Row]) -> list[str]:
     """Return the table of passed budgets, each with the mechanism that is missing."""
-    passed = passed_rows(rows)
+    passed = exceeded_rows(rows)
     if not passed:
         return ["None of those that are measured."]
     return _markdown(
@@ -212,8 +212,8 @@
         len(rows),
         len(not_measured),
         len(extrapolated),
-        verdicts.count(Verdict.HELD),
-        verdicts.count(Verdict.PASSED),
+        verdicts.count(Verdict.MET),
+        verdicts.count(Verdict.EXCEEDED),
         verdicts.count(Verdict.UNKNOWN),
     ]
     return [role.title, *map(str, counts)]
--- a/umberusher/commands/capacity_check.py
+++ b/umberusher/commands/capacity_check.py
@@ -8,7 +8,7 @@
 
 import argparse
 
-from umberusher.capacity.budget_rows import Verdict, passed_rows
+from umberusher.capacity.budget_rows import Verdict, exceeded_rows
 from umberusher.capacity.page import allowed_quantities, find_faults
 from umberusher.commands import capacity
 
@@ -20,7 +20,7 @@
     allowed = allowed_quantities(report.costs.plan, report.costs.program)
     page_faults = find_faults(page, report.tables, report.rows, allowed)
     faults = [*report.faults, *(f"{args.page}: {fault}" for fault in page_faults)]
-    for row in passed_rows(report.rows):
+    for row in exceeded_rows(report.rows):
         print(
             f"passed: {row.name()}: {row.format_estimate(row.now)}, "
             f"budget {row.format_budget()}; {row.mechanism()}"
@@ -30,8 +30,8 @@
     verdicts = [row.verdict for row in report.rows]
     print(
         f"{len(verdicts)} lines, {len(report.costs.measurements)} measurements; "
-        f"budgets: {verdicts.count(Verdict.HELD)} held, "
-        f"{verdicts.count(Verdict.PASSED)} passed, "
+        f"budgets: {verdicts.count(Verdict.MET)} held, "
+        f"{verdicts.count(Verdict.EXCEEDED)} passed, "
         f"{verdicts.count(Verdict.UNKNOWN)} not measured; {len(faults)} faults"
     )
     return 1 if faults else 0
