--- a/tests/capacity/test_measured_costs.py
+++ b/tests/capacity/test_measured_costs.py
@@ -132,7 +132,7 @@
     )
     (line,) = evaluate([role], sums, EARLIER_VERSION)
     assert line.verdict == Verdict.EXCEEDED
-    assert line.format_estimate(line.now) == "not reached: asks in a circle"
+    assert line.format_estimate(line.current_estimate) == "not reached: asks in a circle"
 
 
 @pytest.mark.parametrize(
--- a/tests/capacity/test_roles.py
+++ b/tests/capacity/test_roles.py
@@ -48,8 +48,10 @@
     plan = capacity.load_plan(str(PLAN))
     costs = AllPlayed(plan, capacity.program_constants(plan), documents)
     rows = evaluate(ROLES, costs, EARLIER_VERSION)
-    assert all(row.now.value is not None for row in rows)
-    assert {key for row in rows for key in row.now.sources} >= {each.name for each in read}
+    assert all(row.current_estimate.value is not None for row in rows)
+    assert {key for row in rows for key in row.current_estimate.sources} >= {
+        each.name for each in read
+    }
 
 
 def test_serve_imports_nothing_of_capacity():
--- a/umberusher/capacity/budget_rows.py
+++ b/umberusher/capacity/budget_rows.py
@@ -98,18 +98,18 @@
     Attributes:
         role: Its role.
         definition: What it is.
-        now: Its figure of the program of now.
+        current_estimate: Its figure, from measurements of the current version.
         budget: Its bound.
         verdict: Whether the bound is kept.
-        before: Its figure of the earlier version.
+        earlier_estimate: Its figure, from measurements of the earlier version.
     """
 
     role: Role
     definition: RowDefinition
-    now: Estimate
+    current_estimate: Estimate
     budget: Quantity | None
     verdict: Verdict
-    before: Estimate
+    earlier_estimate: Estimate
 
     def format_estimate(self, estimate: Estimate) -> str:
         """Return a figure as the page shows it."""
@@ -178,14 +178,21 @@
 def _evaluate_row(
     role: Role, definition: RowDefinition, costs: MeasuredCosts, earlier_costs: MeasuredCosts
 ) -> Row:
-    now = definition.formula(costs)
-    before = definition.formula(earlier_costs)
+    current_estimate = definition.formula(costs)
+    earlier_estimate = definition.formula(earlier_costs)
     budget = costs.bound(definition.budget)
-    for quantity in (now.value, before.value, budget):
+    for quantity in (current_estimate.value, earlier_estimate.value, budget):
         if quantity is not None:
             # Raises where the unit is another.
             quantity.to(definition.unit)
-    return Row(role, definition, now, budget, judge(now, budget), before)
+    return Row(
+        role,
+        definition,
+        current_estimate,
+        budget,
+        judge(current_estimate, budget),
+        earlier_estimate,
+    )
 
 
 def exceeded_rows(rows: Iterable[Row]) -> list[Row]:
--- a/umberusher/capacity/page.py
+++ b/umberusher/capacity/page.py
@@ -156,7 +156,7 @@
     lines = block.lines if block else []
     for row in exceeded_rows(rows):
         description = row.definition.description
-        figure = row.format_estimate(row.now)
+        figure = row.format_estimate(row.current_estimate)
         if not any(description in line and figure in line for line in lines):
             faults.append(f"the page does not tell that a budget is passed: {row.name()}")
         if not row.definition.missing_mechanism:
--- a/umberusher/capacity/tables.py
+++ b/umberusher/capacity/tables.py
@@ -122,17 +122,17 @@
 
 def _role_row(row: Row, measurements: Mapping[str, Measurement]) -> list[str]:
     definition = row.definition
-    now = row.now
-    runs = [f"`{key}` @ {_commit(measurements[key])}" for key in now.sources]
-    runs += [f"no `{key}`" for key in now.absent]
+    current_estimate = row.current_estimate
+    runs = [f"`{key}` @ {_commit(measurements[key])}" for key in current_estimate.sources]
+    runs += [f"no `{key}`" for key in current_estimate.absent]
     return [
         definition.resource,
         definition.moment,
         definition.description,
-        row.format_estimate(now),
+        row.format_estimate(current_estimate),
         row.format_budget(),
         f"**{row.verdict}**" if row.verdict == Verdict.EXCEEDED else row.verdict,
-        _marked(_known_by(now), now),
+        _marked(_known_by(current_estimate), current_estimate),
         _before(row),
         ", ".join(runs) or NONE,
         row.mechanism(),
@@ -147,10 +147,14 @@
 
 def _before(row: Row) -> str:
     """Return the figure of the earlier version."""
-    if row.now.basis is Basis.PLANNED:
-        return "the same" if row.before == row.now else row.format_estimate(row.before)
-    text = _marked(row.format_estimate(row.before), row.before)
-    if judge(row.before, row.budget) == Verdict.EXCEEDED:
+    if row.current_estimate.basis is Basis.PLANNED:
+        return (
+            "the same"
+            if row.earlier_estimate == row.current_estimate
+            else row.format_estimate(row.earlier_estimate)
+        )
+    text = _marked(row.format_estimate(row.earlier_estimate), row.earlier_estimate)
+    if judge(row.earlier_estimate, row.budget) == Verdict.EXCEEDED:
         text += ", **passed**"
     return text
 
@@ -177,9 +181,9 @@
                 row.role.title,
                 row.definition.moment,
                 row.definition.description,
-                row.format_estimate(row.now),
+                row.format_estimate(row.current_estimate),
                 row.format_budget(),
-                BASIS_WORDS[row.now.basis],
+                BASIS_WORDS[row.current_estimate.basis],
                 row.mechanism(),
             )
             for row in passed
@@ -196,7 +200,7 @@
 
 
 def _counts_row(role: Role, rows: Sequence[Row]) -> list[str]:
-    estimates = [row.now for row in rows]
+    estimates = [row.current_estimate for row in rows]
     not_measured = [
         estimate
         for estimate in estimates
--- a/umberusher/commands/capacity_check.py
+++ b/umberusher/commands/capacity_check.py
@@ -22,7 +22,7 @@
     faults = [*report.faults, *(f"{args.page}: {fault}" for fault in page_faults)]
     for row in exceeded_rows(report.rows):
         print(
-            f"passed: {row.name()}: {row.format_estimate(row.now)}, "
+            f"passed: {row.name()}: {row.format_estimate(row.current_estimate)}, "
             f"budget {row.format_budget()}; {row.mechanism()}"
         )
     for fault in faults:
