--- a/umberusher/capacity/plan.py
+++ b/umberusher/capacity/plan.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from umberusher.capacity.units import SHOWN_VALUE_MAX, Quantity, UnitError, format_quantity
+from umberusher.capacity.units import SHOWN_VALUE_MAX_CHARS, Quantity, UnitError, format_quantity
 from umberusher.errors import UsageError
 
 PRELUDE = """
@@ -119,7 +119,7 @@
     for name, raw in given.items():
         place = f"{file}{_line_suffix(text, name)}"
         if name not in FIELDS:
-            errors.append(f"{place}: {name[:SHOWN_VALUE_MAX]}: there is no such field")
+            errors.append(f"{place}: {name[:SHOWN_VALUE_MAX_CHARS]}: there is no such field")
             continue
         try:
             values[name] = _read_value(name, raw)
@@ -148,10 +148,12 @@
     if not isinstance(raw, dict) or raw.get("is") not in (GIVEN, ASSUMED):
         raise UnitError(
             "must be made by of(number, unit) or assumed(number, unit, why), "
-            f"not {str(raw)[:SHOWN_VALUE_MAX]!r}"
+            f"not {str(raw)[:SHOWN_VALUE_MAX_CHARS]!r}"
         )
     if not isinstance(raw["unit"], str):
-        raise UnitError(f"its unit must be a text, not {str(raw['unit'])[:SHOWN_VALUE_MAX]!r}")
+        raise UnitError(
+            f"its unit must be a text, not {str(raw['unit'])[:SHOWN_VALUE_MAX_CHARS]!r}"
+        )
     if raw["is"] == ASSUMED and (not isinstance(raw["why"], str) or not raw["why"].strip()):
         raise UnitError("is assumed without a reason")
     quantity = Quantity.of(raw["value"], raw["unit"])
--- a/umberusher/capacity/units.py
+++ b/umberusher/capacity/units.py
@@ -30,7 +30,7 @@
     "zone",
 )
 # Of a rejected value, in messages.
-SHOWN_VALUE_MAX = 40
+SHOWN_VALUE_MAX_CHARS = 40
 SIGNIFICANT_DIGITS = 3
 VOWELS = "aei"
 
@@ -99,7 +99,7 @@
             raise UnitError(f"{text!r} is no unit")
         for word in words:
             if word not in UNITS:
-                raise UnitError(f"{word[:SHOWN_VALUE_MAX]!r} is no unit")
+                raise UnitError(f"{word[:SHOWN_VALUE_MAX_CHARS]!r} is no unit")
             unit = UNITS[word]
             scale = scale / unit.scale if place else scale * unit.scale
             if unit.base:
@@ -136,7 +136,7 @@
             UnitError: The number is not finite, or there is no such unit.
         """
         if not is_number(value):
-            raise UnitError(f"{str(value)[:SHOWN_VALUE_MAX]!r} is no number")
+            raise UnitError(f"{str(value)[:SHOWN_VALUE_MAX_CHARS]!r} is no number")
         parsed = parse_unit(unit)
         return cls(value * parsed.scale, parsed.dimension)
 
--- a/umberusher/commands/capacity_show.py
+++ b/umberusher/commands/capacity_show.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from umberusher.capacity.page import PageError, render
-from umberusher.capacity.units import SHOWN_VALUE_MAX
+from umberusher.capacity.units import SHOWN_VALUE_MAX_CHARS
 from umberusher.commands import capacity, tools
 from umberusher.commands.capacity import CapacityReport
 from umberusher.errors import UsageError
@@ -24,7 +24,9 @@
         print(f"umberusher: {fault}", file=sys.stderr)
     if args.role and args.role not in tables:
         known = ", ".join(sorted(tables))
-        raise UsageError(f"--role: there is no {args.role[:SHOWN_VALUE_MAX]!r}; there are {known}")
+        raise UsageError(
+            f"--role: there is no {args.role[:SHOWN_VALUE_MAX_CHARS]!r}; there are {known}"
+        )
     if args.write:
         _write_page(args.write, report)
         return 0
