--- a/tests/capacity/test_measured_costs.py
+++ b/tests/capacity/test_measured_costs.py
@@ -20,9 +20,9 @@
 
 def test_interpolate_says_whether_a_figure_ran_is_summed_or_extrapolated():
     straight = read_measurement(measurement_document(), "made-up")
-    assert interpolate(straight, 8_000) == (80.0, Basis.RAN)
-    assert interpolate(straight, 8_010)[1] is Basis.RAN
-    assert interpolate(straight, 4_000) == (pytest.approx(40.0), Basis.SUMMED)
+    assert interpolate(straight, 8_000) == (80.0, Basis.MEASURED)
+    assert interpolate(straight, 8_010)[1] is Basis.MEASURED
+    assert interpolate(straight, 4_000) == (pytest.approx(40.0), Basis.CALCULATED)
     assert interpolate(straight, 64_000) == (pytest.approx(640.0), Basis.EXTRAPOLATED)
     assert interpolate(straight, 10) == (10.0, Basis.EXTRAPOLATED)  # never under the nearest point
     falling = read_measurement(
@@ -40,18 +40,18 @@
     assert bent.fit.linear_to == 4
     assert interpolate(bent, 6) == (
         pytest.approx(52.0),
-        Basis.SUMMED,
+        Basis.CALCULATED,
     )  # between its neighbours, not on a line that bends there
     assert interpolate(bent, 3) == (
         pytest.approx(3.0),
-        Basis.SUMMED,
+        Basis.CALCULATED,
     )  # nor on a line of all points, which runs below 0 there
     assert interpolate(bent, 32) == (
         pytest.approx(700.0),
         Basis.EXTRAPOLATED,
     )  # on along the two last points
     one = read_measurement(measurement_document(points=((7, 3.0),)), "made-up")
-    assert interpolate(one, 7) == (3.0, Basis.RAN)
+    assert interpolate(one, 7) == (3.0, Basis.MEASURED)
     with pytest.raises(UnitError, match="measured at 7 engines listed alone, not at 8"):
         interpolate(one, 8)
 
@@ -64,10 +64,10 @@
         MeasurementSource("made-up", "engines listed", "us", "core us/change/broker"),
         sums.plan.engines,
     )
-    assert each.basis is Basis.RAN
+    assert each.basis is Basis.MEASURED
     assert each.sources == ("made-up",)
     rate = each * sums.plan.changes
-    assert rate.basis is Basis.SUMMED
+    assert rate.basis is Basis.CALCULATED
     assert rate.value.to("% core/broker") == pytest.approx(320e-6 * 49e5 / 86_400)
     assert (rate * sums.plan.brokers).basis is Basis.EXTRAPOLATED
     absent = sums.cost(
--- a/tests/capacity/test_roles.py
+++ b/tests/capacity/test_roles.py
@@ -37,13 +37,13 @@
 def test_formulas_give_their_rows_units_when_all_is_measured():
     class AllPlayed(MeasuredCosts):
         def scene_figure(self, source):
-            return Estimate(Quantity.of(1.0, source.unit), Basis.PLAYED, (source.name,))
+            return Estimate(Quantity.of(1.0, source.unit), Basis.SIMULATED, (source.name,))
 
     read = [each for each in vars(sources).values() if isinstance(each, MeasurementSource)]
     assert read
     points = ((1, 5.0), (100, 90.0), (32_000, 700.0))
     documents = read_all(
-        *(measurement_document(each.name, each.raw_unit, each.by, points) for each in read)
+        *(measurement_document(each.name, each.raw_unit, each.size_label, points) for each in read)
     )
     plan = capacity.load_plan(str(PLAN))
     costs = AllPlayed(plan, capacity.program_constants(plan), documents)
--- a/tests/capacity/test_scale_records.py
+++ b/tests/capacity/test_scale_records.py
@@ -50,9 +50,9 @@
 
     found = scene_figure(scale_document(SLOWEST), "zone_lost: in force: largest")
     assert found.value.to("s") == 3.0
-    assert found.basis is Basis.PLAYED
+    assert found.basis is Basis.SIMULATED
     assert found.sources == ("scale-made-up",)
-    assert scene_figure(scale_document(SLOWEST), "real: in force").basis is Basis.RAN
+    assert scene_figure(scale_document(SLOWEST), "real: in force").basis is Basis.MEASURED
     assert scene_figure(scale_document(SLOWEST), "lumps: in force").absent == (
         "scale-made-up: lumps: in force",
     )
@@ -118,7 +118,7 @@
         {"w": found["now"], f"w{EARLIER_VERSION}": found["before"]},
     )
     source = SceneSource("w", "real: ready_s", "s", "s")
-    assert costs.scene_figure(source).basis is Basis.RAN
+    assert costs.scene_figure(source).basis is Basis.MEASURED
     assert (
         costs.of_version(EARLIER_VERSION).scene_figure(source).unreached_reason
         == "not good within 15 s"
--- a/umberusher/capacity/budget_rows.py
+++ b/umberusher/capacity/budget_rows.py
@@ -140,7 +140,7 @@
         return "missing"
 
 
-def judge(estimate: Estimate, budget: Quantity | None) -> Verdict:
+def compare_to_budget(estimate: Estimate, budget: Quantity | None) -> Verdict:
     """Return whether a figure keeps its budget.
 
     One that was not reached when it was measured passes it.
@@ -180,7 +180,7 @@
 ) -> Row:
     current_estimate = definition.formula(costs)
     earlier_estimate = definition.formula(earlier_costs)
-    budget = costs.bound(definition.budget)
+    budget = costs.budget(definition.budget)
     for quantity in (current_estimate.value, earlier_estimate.value, budget):
         if quantity is not None:
             # Raises where the unit is another.
@@ -190,7 +190,7 @@
         definition,
         current_estimate,
         budget,
-        judge(current_estimate, budget),
+        compare_to_budget(current_estimate, budget),
         earlier_estimate,
     )
 
--- a/umberusher/capacity/estimates.py
+++ b/umberusher/capacity/estimates.py
@@ -24,17 +24,17 @@
     """
 
     PLANNED = 0
-    RAN = 1
-    PLAYED = 2
-    SUMMED = 3
+    MEASURED = 1
+    SIMULATED = 2
+    CALCULATED = 3
     EXTRAPOLATED = 4
 
 
-BASIS_WORDS = {
+BASIS_TEXTS = {
     Basis.PLANNED: "reckoned",
-    Basis.RAN: "ran",
-    Basis.PLAYED: "played",
-    Basis.SUMMED: "summed",
+    Basis.MEASURED: "ran",
+    Basis.SIMULATED: "played",
+    Basis.CALCULATED: "summed",
     Basis.EXTRAPOLATED: "extrapolated",
 }
 
@@ -90,7 +90,7 @@
     def __add__(self, other: Estimate | Quantity) -> Estimate:
         operands = self._operands(other)
         value = operands and operands.left + operands.right
-        return self._combined(other, value, Basis.SUMMED)
+        return self._combined(other, value, Basis.CALCULATED)
 
     def __mul__(self, other: Estimate | Quantity) -> Estimate:
         """Return the product.
@@ -101,12 +101,12 @@
         operands = self._operands(other)
         value = operands and operands.left * operands.right
         by_brokers = isinstance(other, Quantity) and ("broker", 1) in other.dimension
-        return self._combined(other, value, Basis.EXTRAPOLATED if by_brokers else Basis.SUMMED)
+        return self._combined(other, value, Basis.EXTRAPOLATED if by_brokers else Basis.CALCULATED)
 
     def __truediv__(self, other: Estimate | Quantity) -> Estimate:
         operands = self._operands(other)
         value = operands and operands.left / operands.right
-        return self._combined(other, value, Basis.SUMMED)
+        return self._combined(other, value, Basis.CALCULATED)
 
 
 def _unique(keys: tuple[str, ...]) -> tuple[str, ...]:
--- a/umberusher/capacity/measured_costs.py
+++ b/umberusher/capacity/measured_costs.py
@@ -11,7 +11,7 @@
 from umberusher.capacity.line_fit import LineFit, Point
 from umberusher.capacity.measurement import Measurement
 from umberusher.capacity.plan import Plan
-from umberusher.capacity.scale_records import ScaleRecord, is_real
+from umberusher.capacity.scale_records import ScaleRecord, is_real_broker_figure
 from umberusher.capacity.units import Quantity, UnitError, parse_unit
 
 # Suffix of the measurements of the program before it was made for this size.
@@ -32,7 +32,7 @@
     """
 
     name: str
-    by: str
+    size_label: str
     raw_unit: str
     unit: str
 
@@ -79,22 +79,23 @@
     points = measurement.medians()
     for point in points:
         if is_same_size(point.x, x):
-            return InterpolatedCost(point.y, Basis.RAN)
+            return InterpolatedCost(point.y, Basis.MEASURED)
     fit = measurement.fit
     if fit is None:
         raise UnitError(
-            f"{measurement.name}: measured at {points[0].x:g} {measurement.by} alone, not at {x:g}"
+            f"{measurement.name}: measured at {points[0].x:g} {measurement.size_label} alone, "
+            f"not at {x:g}"
         )
     if x < points[0].x:
         return InterpolatedCost(max(fit.at(x), points[0].y), Basis.EXTRAPOLATED)
     if x > points[-1].x:
-        return InterpolatedCost(_beyond(points, fit, x), Basis.EXTRAPOLATED)
+        return InterpolatedCost(_extrapolate_above(points, fit, x), Basis.EXTRAPOLATED)
     if fit.linear_to >= points[-1].x:
-        return InterpolatedCost(max(fit.at(x), 0.0), Basis.SUMMED)
-    return InterpolatedCost(_between(points, x), Basis.SUMMED)
+        return InterpolatedCost(max(fit.at(x), 0.0), Basis.CALCULATED)
+    return InterpolatedCost(_interpolate_between(points, x), Basis.CALCULATED)
 
 
-def _beyond(points: list[Point], fit: LineFit, x: float) -> float:
+def _extrapolate_above(points: list[Point], fit: LineFit, x: float) -> float:
     """Return the figure above the largest measured size."""
     low, last = points[-2:]
     if fit.linear_to >= last.x:
@@ -103,7 +104,7 @@
     return max(last.y + slope * (x - last.x), last.y)
 
 
-def _between(points: list[Point], x: float) -> float:
+def _interpolate_between(points: list[Point], x: float) -> float:
     """Return the figure on the line between the two points beside a size."""
     low, high = next(pair for pair in pairwise(points) if pair[1].x >= x)
     return low.y + (high.y - low.y) / (high.x - low.x) * (x - low.x)
@@ -138,13 +139,13 @@
         """Return the same costs of another version's measurements."""
         return MeasuredCosts(self.plan, self.program, self.measurements, self.records, version)
 
-    def bound(self, name: str) -> Quantity | None:
+    def budget(self, name: str) -> Quantity | None:
         """Return a number of the plan or a constant of the program; None without a name."""
         if not name:
             return None
         return self.plan.values[name] if name in self.plan.values else self.program[name]
 
-    def _key(self, name: str) -> str:
+    def _measurement_key(self, name: str) -> str:
         """Return the key of a measurement of this version.
 
         Where the program of now has none, it is the newest since the earlier version.
@@ -156,7 +157,7 @@
             for key in self.measurements
             if key.startswith(f"{name}.") and key != name + EARLIER_VERSION
         ]
-        return max(others, key=lambda key: self.measurements[key].at, default=name)
+        return max(others, key=lambda key: self.measurements[key].measured_at, default=name)
 
     def cost(self, source: MeasurementSource, size: Quantity | float | None = None) -> Estimate:
         """Return what a measurement gives at a size, in the units of what it counts by.
@@ -168,16 +169,16 @@
         Raises:
             UnitError: Its file measures in another unit, or by something else, than is read here.
         """
-        key = self._key(source.name)
+        key = self._measurement_key(source.name)
         measurement = self.measurements.get(key)
         if measurement is None:
-            return Estimate(None, Basis.RAN, (), (key,))
-        _check_word(key, "unit", measurement.unit, source.raw_unit)
-        _check_word(key, "by", measurement.by, source.by)
-        x = measurement.points[-1].x if size is None else _plain_size(size)
+            return Estimate(None, Basis.MEASURED, (), (key,))
+        _check_matches(key, "unit", measurement.unit, source.raw_unit)
+        _check_matches(key, "by", measurement.size_label, source.size_label)
+        x = measurement.points[-1].x if size is None else _size_value(size)
         for unreached in measurement.unreached:
             if is_same_size(unreached.x, x):
-                return Estimate(None, Basis.RAN, (key,), (), unreached.reason)
+                return Estimate(None, Basis.MEASURED, (key,), (), unreached.reason)
         cost = interpolate(measurement, x)
         unit = parse_unit(source.unit)
         return Estimate(Quantity(cost.value * unit.scale, unit.dimension), cost.basis, (key,))
@@ -188,23 +189,23 @@
         Raises:
             UnitError: The record has the figure in another unit than is read here.
         """
-        key = self._key(source.name)
+        key = self._measurement_key(source.name)
         record = self.records.get(key)
         if record is None:
-            return Estimate(None, Basis.PLAYED, (), (key,))
+            return Estimate(None, Basis.SIMULATED, (), (key,))
         if not self._is_planned_size(record):
-            return Estimate(None, Basis.PLAYED, (), (f"{key} at the size",))
+            return Estimate(None, Basis.SIMULATED, (), (f"{key} at the size",))
         if record.unreached_reason:
-            return Estimate(None, Basis.RAN, (key,), (), record.unreached_reason)
+            return Estimate(None, Basis.MEASURED, (key,), (), record.unreached_reason)
         figure = record.figures.get(source.figure)
         if figure is None:
-            return Estimate(None, Basis.PLAYED, (), (f"{key}: {source.figure}",))
+            return Estimate(None, Basis.SIMULATED, (), (f"{key}: {source.figure}",))
         if figure.unit != source.raw_unit:
             raise UnitError(
                 f"{key}: {source.figure}: is in {figure.unit!r}, {source.raw_unit!r} is read here"
             )
         unit = parse_unit(source.unit)
-        basis = Basis.RAN if is_real(source.figure) else Basis.PLAYED
+        basis = Basis.MEASURED if is_real_broker_figure(source.figure) else Basis.SIMULATED
         return Estimate(Quantity(figure.value * unit.scale, unit.dimension), basis, (key,))
 
     def _is_planned_size(self, record: ScaleRecord) -> bool:
@@ -214,7 +215,7 @@
         return _is_planned(record.engines, self.plan.engines.value)
 
 
-def _plain_size(size: Quantity | float) -> float:
+def _size_value(size: Quantity | float) -> float:
     return size.value if isinstance(size, Quantity) else size
 
 
@@ -222,6 +223,6 @@
     return abs(played - planned) <= SAME_SIZE_TOLERANCE * planned
 
 
-def _check_word(key: str, field: str, found: str, expected: str) -> None:
+def _check_matches(key: str, field: str, found: str, expected: str) -> None:
     if found != expected:
         raise UnitError(f"{key}: {field}: is {found!r}, {expected!r} is read here")
--- a/umberusher/capacity/measurement.py
+++ b/umberusher/capacity/measurement.py
@@ -63,8 +63,8 @@
 
     name: str
     role: str
-    what: str
-    by: str
+    description: str
+    size_label: str
     unit: str
     command: str
     commit: str
@@ -72,7 +72,7 @@
     points: list[MeasuredPoint]
     fit: LineFit | None = None
     dirty: bool = False
-    at: str = ""
+    measured_at: str = ""
     machine: dict[str, Any] = field(default_factory=dict)
     unreached: list[UnreachedPoint] = field(default_factory=list)
 
@@ -103,11 +103,11 @@
     name = reader.matching_text("name", NAME_PATTERN, "lower-case words joined by -")
     role = reader.text("role", ROLES)
     clock = reader.text("clock", CLOCKS)
-    what = reader.text("what")
-    by = reader.text("by")
+    description = reader.text("what")
+    size_label = reader.text("by")
     unit = reader.text("unit")
     command = reader.text("command")
-    at = reader.text("at")
+    measured_at = reader.text("at")
     commit = reader.matching_text(
         "commit", COMMIT_PATTERN, "a whole commit of 40 hexadecimal digits"
     )
@@ -119,15 +119,15 @@
     measurement = Measurement(
         name=name,
         role=role,
-        what=what,
-        by=by,
+        description=description,
+        size_label=size_label,
         unit=unit,
         command=command,
         commit=commit,
         clock=clock,
         points=_read_points(reader, rounds),
         dirty=dirty,
-        at=at,
+        measured_at=measured_at,
         machine=machine,
         unreached=_read_unreached(reader),
     )
@@ -178,21 +178,21 @@
 
     Guards the page against points that were changed without their fit.
     """
-    kept = reader.raw.get("fit")
+    stored = reader.raw.get("fit")
     if len(points) < 2:
-        if kept is not None:
+        if stored is not None:
             raise reader.error("fit", "must be left out, one point gives no line")
         return None
-    if not isinstance(kept, Mapping) or set(kept) != FIT_FIELDS:
+    if not isinstance(stored, Mapping) or set(stored) != FIT_FIELDS:
         raise reader.error("fit", "must have base, slope, residuals and linear_to, nothing else")
     expected = fit_line(points)
-    _check_line(reader, kept, expected, points)
-    _check_residuals(reader, kept["residuals"], expected)
+    _check_line(reader, stored, expected, points)
+    _check_residuals(reader, stored["residuals"], expected)
     return expected
 
 
 def _check_line(
-    reader: FieldReader, kept: Mapping[str, Any], expected: LineFit, points: list[Point]
+    reader: FieldReader, stored: Mapping[str, Any], expected: LineFit, points: list[Point]
 ) -> None:
     base_tolerance = FIT_TOLERANCE * max(abs(point.y) for point in points)
     slope_tolerance = base_tolerance / (points[-1].x - points[0].x)
@@ -201,15 +201,15 @@
         ("slope", expected.slope, slope_tolerance),
         ("linear_to", expected.linear_to, 0.0),
     ):
-        if abs(reader.number(kept[name], f"fit.{name}") - value) > tolerance:
-            raise reader.error(f"fit.{name}", f"is {kept[name]!r}, the points give {value:.6g}")
+        if abs(reader.number(stored[name], f"fit.{name}") - value) > tolerance:
+            raise reader.error(f"fit.{name}", f"is {stored[name]!r}, the points give {value:.6g}")
 
 
-def _check_residuals(reader: FieldReader, kept: object, expected: LineFit) -> None:
+def _check_residuals(reader: FieldReader, stored: object, expected: LineFit) -> None:
     name = "fit.residuals"
     count = len(expected.residuals)
-    if not isinstance(kept, list) or len(kept) != count:
+    if not isinstance(stored, list) or len(stored) != count:
         raise reader.error(name, f"must be a list of {count}, one a point")
-    for value, residual in zip(kept, expected.residuals, strict=True):
+    for value, residual in zip(stored, expected.residuals, strict=True):
         if abs(reader.number(value, name) - residual) > FIT_TOLERANCE:
             raise reader.error(name, f"has {value!r}, the points give {residual:.6g}")
--- a/umberusher/capacity/page.py
+++ b/umberusher/capacity/page.py
@@ -24,8 +24,8 @@
 # Relative: a number of the plan may be rounded in prose.
 ROUNDING_TOLERANCE = 0.005
 # Characters shown before and behind the place where two lines differ.
-SHOWN_BEFORE = 30
-SHOWN_BEHIND = 50
+EXCERPT_CHARS_BEFORE = 30
+EXCERPT_CHARS_AFTER = 50
 MISSING_LINE = "nothing"
 
 
@@ -115,10 +115,10 @@
     for block in blocks:
         faults += _block_faults(block, tables.get(block.name))
     if "measurements" in by_name:
-        faults += _quote_faults(by_name["measurements"], tables["measurements"])
-    faults += _passed_faults(by_name.get("passed"), rows)
+        faults += _missing_measurement_faults(by_name["measurements"], tables["measurements"])
+    faults += _exceeded_budget_faults(by_name.get("passed"), rows)
     try:
-        faults += _stray_figures(text, blocks, allowed)
+        faults += _disallowed_figures(text, blocks, allowed)
     except UnitError as error:
         faults.append(str(error))
     return faults
@@ -139,7 +139,7 @@
     return []
 
 
-def _quote_faults(block: Block, table: Sequence[str]) -> list[str]:
+def _missing_measurement_faults(block: Block, table: Sequence[str]) -> list[str]:
     """Return the measurements that the page quotes and that do not exist."""
     rows = "\n".join(table)
     quoted = [match[1] for line in block.lines if (match := QUOTED_MEASUREMENT.match(line))]
@@ -150,7 +150,7 @@
     ]
 
 
-def _passed_faults(block: Block | None, rows: Iterable[Row]) -> list[str]:
+def _exceeded_budget_faults(block: Block | None, rows: Iterable[Row]) -> list[str]:
     """Return the passed budgets that the page does not tell, or not what is missing."""
     faults = []
     lines = block.lines if block else []
@@ -164,7 +164,7 @@
     return faults
 
 
-def _stray_figures(
+def _disallowed_figures(
     text: str, blocks: Iterable[Block], allowed: Sequence[Quantity]
 ) -> Iterator[str]:
     """Yield the figures of the prose that are none of the allowed quantities."""
@@ -179,21 +179,21 @@
         for match in FIGURE.finditer(line):
             value = float(match[1].replace(",", ""))
             quantity = Quantity.of(value, match[2].replace("cores", "core"))
-            if not any(_is_alike(quantity, each) for each in allowed):
+            if not any(_is_same_number(quantity, each) for each in allowed):
                 yield (
                     f"line {number}: {match[0]!r} stands outside of the tables, and is neither "
                     "the plan's nor a constant of the program"
                 )
 
 
-def _is_alike(one: Quantity, other: Quantity) -> bool:
+def _is_same_number(one: Quantity, other: Quantity) -> bool:
     """Return whether two numbers are the same, whatever they are counted by, or a share of."""
-    if _uncounted(one) != _uncounted(other):
+    if _without_counted_units(one) != _without_counted_units(other):
         return False
     return math.isclose(one.value, other.value, rel_tol=ROUNDING_TOLERANCE)
 
 
-def _uncounted(quantity: Quantity) -> list[tuple[str, int]]:
+def _without_counted_units(quantity: Quantity) -> list[tuple[str, int]]:
     return [each for each in quantity.dimension if each[0] not in (*COUNTED_UNITS, "core")]
 
 
@@ -204,4 +204,4 @@
         if one != two:
             place = index
             break
-    return repr(line[max(0, place - SHOWN_BEFORE) : place + SHOWN_BEHIND])
+    return repr(line[max(0, place - EXCERPT_CHARS_BEFORE) : place + EXCERPT_CHARS_AFTER])
--- a/umberusher/capacity/roles/broker_needs.py
+++ b/umberusher/capacity/roles/broker_needs.py
@@ -5,9 +5,9 @@
 from umberusher.capacity.budget_rows import Moment, Resource, RowDefinition
 from umberusher.capacity.roles.formulas import at_planned_size, planned
 from umberusher.capacity.roles.mechanisms import (
+    CHUNKED_LIST,
     DIRECTORY,
     HELD_LIST,
-    LIST_IN_PIECES,
     LONG_POLL,
     SUBSET,
 )
@@ -80,7 +80,7 @@
         at_planned_size(CONTROL_BYTES),
         "control_bytes",
         LONG_POLL,
-        LIST_IN_PIECES,
+        CHUNKED_LIST,
     ),
     RowDefinition(
         Resource.MESSAGES,
@@ -107,7 +107,7 @@
         / costs.plan.in_force_within,
         "control_bytes",
         "",
-        LIST_IN_PIECES,
+        CHUNKED_LIST,
     ),
     RowDefinition(
         Resource.MESSAGES,
@@ -117,7 +117,7 @@
         lambda costs: costs.cost(UPDATE_BURST_BYTES, costs.plan.lump) * burst_rate(costs),
         "control_bytes",
         LONG_POLL,
-        LIST_IN_PIECES,
+        CHUNKED_LIST,
     ),
     RowDefinition(
         Resource.MESSAGES,
@@ -153,7 +153,7 @@
         lambda costs: costs.cost(BROKER_START_BYTES, costs.plan.engines) / costs.plan.control_bytes,
         "ready_within",
         "",
-        LIST_IN_PIECES,
+        CHUNKED_LIST,
     ),
 )
 MEMORY_ROWS: tuple[RowDefinition, ...] = (
--- a/umberusher/capacity/roles/broker_processor.py
+++ b/umberusher/capacity/roles/broker_processor.py
@@ -5,14 +5,19 @@
 from umberusher.capacity.budget_rows import Moment, Resource, RowDefinition
 from umberusher.capacity.estimates import Estimate
 from umberusher.capacity.roles.formulas import at_planned_size, size_ratio
-from umberusher.capacity.roles.mechanisms import CHANGE_WORK_GROWS, DIRECTORY, SECOND_LOOP, SUBSET
+from umberusher.capacity.roles.mechanisms import (
+    DIRECTORY,
+    SECOND_EVENT_LOOP,
+    SUBSET,
+    WORK_PROPORTIONAL_TO_CHANGE,
+)
 from umberusher.capacity.roles.quantities import (
     ONE_BROKER,
-    arrival_among_held,
     broker_connections,
     broker_statement_rate,
     burst_rate,
     missed_changes,
+    subset_arrival_cost,
     zone_engines,
 )
 from umberusher.capacity.roles.sources import (
@@ -36,7 +41,7 @@
         at_planned_size(CONTROL_CPU_SHARE),
         "control_processor",
         DIRECTORY,
-        CHANGE_WORK_GROWS,
+        WORK_PROPORTIONAL_TO_CHANGE,
     ),
     RowDefinition(
         Resource.PROCESSOR,
@@ -54,7 +59,7 @@
         size_ratio(CHANGE_CPU),
         "change_ratio",
         DIRECTORY,
-        CHANGE_WORK_GROWS,
+        WORK_PROPORTIONAL_TO_CHANGE,
     ),
     RowDefinition(
         Resource.PROCESSOR,
@@ -79,7 +84,7 @@
         Moment.ORDINARY,
         "an arrival, decisions alone, 6,250 a second, of as many engines as it holds",
         "core us/statement",
-        arrival_among_held,
+        subset_arrival_cost,
         mechanism=SUBSET,
     ),
     RowDefinition(
@@ -90,17 +95,17 @@
         lambda costs: costs.cost(ARRIVAL_CPU, costs.plan.engines) * broker_statement_rate(costs),
         "broker_cores",
         SUBSET,
-        SECOND_LOOP,
+        SECOND_EVENT_LOOP,
     ),
     RowDefinition(
         Resource.PROCESSOR,
         Moment.ORDINARY,
         "decisions for all its statements, by one at 6,250 a second",
         "core/broker",
-        lambda costs: arrival_among_held(costs) * broker_statement_rate(costs),
+        lambda costs: subset_arrival_cost(costs) * broker_statement_rate(costs),
         "broker_cores",
         SUBSET,
-        SECOND_LOOP,
+        SECOND_EVENT_LOOP,
     ),
     RowDefinition(
         Resource.PROCESSOR,
@@ -110,7 +115,7 @@
         lambda costs: costs.cost(STATEMENT_CPU) * broker_statement_rate(costs),
         "broker_cores",
         "",
-        SECOND_LOOP,
+        SECOND_EVENT_LOOP,
     ),
     RowDefinition(
         Resource.PROCESSOR,
@@ -120,7 +125,7 @@
         lambda costs: Estimate(broker_statement_rate(costs)) / costs.cost(MAX_STATEMENT_RATE),
         "broker_cores",
         "",
-        SECOND_LOOP,
+        SECOND_EVENT_LOOP,
     ),
     RowDefinition(
         Resource.PROCESSOR,
@@ -156,7 +161,7 @@
         lambda costs: costs.cost(UPDATE_BURST_CPU, costs.plan.lump) * burst_rate(costs),
         "control_processor",
         DIRECTORY,
-        CHANGE_WORK_GROWS,
+        WORK_PROPORTIONAL_TO_CHANGE,
     ),
     RowDefinition(
         Resource.PROCESSOR,
--- a/umberusher/capacity/roles/broker_watched.py
+++ b/umberusher/capacity/roles/broker_watched.py
@@ -5,13 +5,13 @@
 from umberusher.capacity.budget_rows import Moment, Resource, RowDefinition
 from umberusher.capacity.roles.formulas import real_figure, watched_figure
 from umberusher.capacity.roles.mechanisms import (
-    BURST_IN_PARTS,
-    CHANGE_WORK_GROWS,
+    CHUNKED_BURST,
+    CHUNKED_LIST,
     DIRECTORY,
     HELD_LIST,
-    LIST_IN_PIECES,
     LONG_POLL,
-    ONE_THREAD,
+    SINGLE_THREAD,
+    WORK_PROPORTIONAL_TO_CHANGE,
 )
 
 
@@ -70,7 +70,7 @@
         ),
         "control_processor",
         DIRECTORY,
-        CHANGE_WORK_GROWS,
+        WORK_PROPORTIONAL_TO_CHANGE,
     ),
     RowDefinition(
         Resource.MESSAGES,
@@ -80,7 +80,7 @@
         real_figure("ordinary changes: a real broker's control bytes", "KB/s", "KB/s/broker"),
         "control_bytes",
         LONG_POLL,
-        LIST_IN_PIECES,
+        CHUNKED_LIST,
     ),
     RowDefinition(
         Resource.MEMORY,
@@ -110,7 +110,7 @@
         ),
         "control_processor",
         DIRECTORY,
-        CHANGE_WORK_GROWS,
+        WORK_PROPORTIONAL_TO_CHANGE,
     ),
     RowDefinition(
         Resource.MESSAGES,
@@ -120,7 +120,7 @@
         real_figure("a lump: a real broker's control bytes", "KB/s", "KB/s/broker"),
         "control_bytes",
         LONG_POLL,
-        LIST_IN_PIECES,
+        CHUNKED_LIST,
     ),
     RowDefinition(
         Resource.PROCESSOR,
@@ -130,7 +130,7 @@
         watched_figure("lump_share", "% of a core", "% core/broker"),
         "control_processor",
         DIRECTORY,
-        BURST_IN_PARTS,
+        CHUNKED_BURST,
     ),
     RowDefinition(
         Resource.MESSAGES,
@@ -140,7 +140,7 @@
         watched_figure("lump_kb_s", "KB/s", "KB/s/broker"),
         "control_bytes",
         LONG_POLL,
-        LIST_IN_PIECES,
+        CHUNKED_LIST,
     ),
     RowDefinition(
         Resource.TIME,
@@ -148,7 +148,7 @@
         "a check's longest wait for its answer",
         "ms",
         watched_figure("lump_wait_ms", "ms", "ms"),
-        mechanism=ONE_THREAD,
+        mechanism=SINGLE_THREAD,
     ),
     RowDefinition(
         Resource.MEMORY,
@@ -178,7 +178,7 @@
         real_figure("a lump: in force, largest", "s", "s"),
         "in_force_within",
         LONG_POLL,
-        LIST_IN_PIECES,
+        CHUNKED_LIST,
     ),
     RowDefinition(
         Resource.MESSAGES,
@@ -189,5 +189,5 @@
         mechanism=LONG_POLL,
     ),
     *real_statement_rows("statements alone", Moment.ORDINARY, "the loop, six stages"),
-    *real_statement_rows("statements and a lump", Moment.UPDATE_BURST, ONE_THREAD),
+    *real_statement_rows("statements and a lump", Moment.UPDATE_BURST, SINGLE_THREAD),
 )
--- a/umberusher/capacity/roles/discovery.py
+++ b/umberusher/capacity/roles/discovery.py
@@ -5,7 +5,7 @@
 from umberusher.capacity.budget_rows import Moment, Resource, Role, RowDefinition
 from umberusher.capacity.roles.formulas import planned, scene_figure
 from umberusher.capacity.roles.mechanisms import (
-    ADDRESS_ASKED_AGAIN,
+    ADDRESS_POLLED_AGAIN,
     LAST_LIST_KEPT,
     LONG_POLL,
     SEVERAL_ADDRESSES,
@@ -64,14 +64,14 @@
                 missing_mechanism=SEVERAL_ADDRESSES,
             )
             for scene, moment, detail, mechanism in (
-                ("one control machine lost", Moment.CONTROL_ONE_LOST, "", ADDRESS_ASKED_AGAIN),
+                ("one control machine lost", Moment.CONTROL_ONE_LOST, "", ADDRESS_POLLED_AGAIN),
                 (
                     "one lost, own addresses",
                     Moment.CONTROL_ONE_LOST,
                     ", where each machine has its own address",
                     "",
                 ),
-                ("a third of control lost", Moment.CONTROL_THIRD_LOST, "", ADDRESS_ASKED_AGAIN),
+                ("a third of control lost", Moment.CONTROL_THIRD_LOST, "", ADDRESS_POLLED_AGAIN),
                 ("all control lost", Moment.CONTROL_ALL_LOST, "", LAST_LIST_KEPT),
                 ("regions_apart", Moment.REGIONS_APART, "", LAST_LIST_KEPT),
             )
--- a/umberusher/capacity/roles/fleet.py
+++ b/umberusher/capacity/roles/fleet.py
@@ -5,10 +5,10 @@
 from umberusher.capacity.budget_rows import Formula, Moment, Resource, Role, RowDefinition
 from umberusher.capacity.roles.formulas import planned, scene_figure
 from umberusher.capacity.roles.mechanisms import (
+    ALTERNATE_CONTROL,
+    CHUNKED_LIST,
     DRAINS,
-    LIST_IN_PIECES,
     LONG_POLL,
-    OTHER_CONTROL,
     SEVERAL_ADDRESSES,
 )
 
@@ -26,12 +26,13 @@
     """Return the rows that each scene of a scale run has."""
     # Where no updates could be sent, times count from the return: what was changed meanwhile has a
     # row of its own.
-    away = moment in (Moment.REGIONS_APART, Moment.CONTROL_ALL_LOST)
+    no_updates = moment in (Moment.REGIONS_APART, Moment.CONTROL_ALL_LOST)
     return (
         RowDefinition(
             Resource.TIME,
             moment,
-            f"until a change is in force at the last broker{', from the return on' * away}, 50th",
+            f"until a change is in force at the last broker"
+            f"{', from the return on' * no_updates}, 50th",
             "s",
             scene_figure(scene, "change in force at the last broker, 50th", "s", "s"),
             mechanism=LONG_POLL,
@@ -50,9 +51,9 @@
             "the same, largest",
             "s",
             scene_figure(scene, "change in force at the last broker, largest", "s", "s"),
-            "" if away else "in_force_within",
+            "" if no_updates else "in_force_within",
             LONG_POLL,
-            SEVERAL_ADDRESSES if "lost" in moment else LIST_IN_PIECES,
+            SEVERAL_ADDRESSES if "lost" in moment else CHUNKED_LIST,
         ),
         *(
             (
@@ -64,10 +65,10 @@
                     planned(lambda costs: costs.plan.regions_apart),
                     "in_force_within",
                     "",
-                    OTHER_CONTROL,
+                    ALTERNATE_CONTROL,
                 ),
             )
-            if away
+            if no_updates
             else ()
         ),
         # The scene of update bursts plays them far closer together than a day has them: what its
@@ -80,7 +81,7 @@
             scene_figure(scene, "control bytes of a broker, mean", "KB/s", "KB/s/broker"),
             "" if moment == Moment.UPDATE_BURST else "control_bytes",
             LONG_POLL,
-            LIST_IN_PIECES,
+            CHUNKED_LIST,
         ),
         RowDefinition(
             Resource.MESSAGES,
--- a/umberusher/capacity/roles/quantities.py
+++ b/umberusher/capacity/roles/quantities.py
@@ -51,7 +51,7 @@
     return costs.plan.changes / costs.plan.lump
 
 
-def arrival_among_held(costs: MeasuredCosts) -> Estimate:
+def subset_arrival_cost(costs: MeasuredCosts) -> Estimate:
     """Return the cost of an arrival among as many engines as a broker holds at the size."""
     engines_held = costs.cost(ENGINES_HELD, costs.plan.engines)
     if not engines_held.value:
--- a/umberusher/capacity/scale_records.py
+++ b/umberusher/capacity/scale_records.py
@@ -44,7 +44,7 @@
     unreached_reason: str = ""
 
 
-def is_real(figure: str) -> bool:
+def is_real_broker_figure(figure: str) -> bool:
     """Return whether a figure is of real brokers, and so of the wall clock."""
     return figure.startswith(f"{REAL_SCENE}: ")
 
@@ -62,14 +62,17 @@
         ValueError: The record's form is wrong; one line ``file: field: what is wrong``.
     """
     try:
-        return {str(play["version"]): _read_version(play) for play in raw["plays"]}
+        return {
+            str(version_record["version"]): _read_version(version_record)
+            for version_record in raw["plays"]
+        }
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ValueError(f"{file}: plays: {type(error).__name__} {error}") from None
 
 
-def _read_version(play: Mapping[str, Any]) -> ScaleRecord:
-    rounds = play["plays"]
-    engines = float(play["listed"])
+def _read_version(version_record: Mapping[str, Any]) -> ScaleRecord:
+    rounds = version_record["plays"]
+    engines = float(version_record["listed"])
     for each in rounds:
         if "not_good" in each:
             return ScaleRecord({}, None, engines, str(each["not_good"]))
--- a/umberusher/capacity/tables.py
+++ b/umberusher/capacity/tables.py
@@ -10,18 +10,18 @@
     Role,
     Row,
     Verdict,
+    compare_to_budget,
     evaluate,
     exceeded_rows,
-    judge,
 )
-from umberusher.capacity.estimates import BASIS_WORDS, Basis, Estimate
+from umberusher.capacity.estimates import BASIS_TEXTS, Basis, Estimate
 from umberusher.capacity.measured_costs import MeasuredCosts
 from umberusher.capacity.measurement import Measurement
 from umberusher.capacity.plan import FIELDS, Plan
-from umberusher.capacity.scale_records import ScaleRecord, is_real
+from umberusher.capacity.scale_records import ScaleRecord, is_real_broker_figure
 from umberusher.capacity.units import format_number
 
-ROLE_HEADS = (
+ROLE_COLUMNS = (
     "part",
     "moment",
     "what",
@@ -33,9 +33,9 @@
     "run",
     "carried by",
 )
-PLAN_HEADS = ("number", "", "from")
-PASSED_HEADS = ("role", "moment", "what", "at the size", "budget", "known by", "mechanism")
-COUNTS_HEADS = (
+PLAN_COLUMNS = ("number", "", "from")
+EXCEEDED_COLUMNS = ("role", "moment", "what", "at the size", "budget", "known by", "mechanism")
+COUNTS_COLUMNS = (
     "role",
     "lines",
     NOT_MEASURED,
@@ -44,7 +44,7 @@
     "budgets passed",
     "budgets not measured",
 )
-MEASUREMENT_HEADS = (
+MEASUREMENT_COLUMNS = (
     "name",
     "what",
     "by",
@@ -57,7 +57,7 @@
     "commit",
     "command",
 )
-NONE = "-"
+EMPTY_CELL = "-"
 COMMIT_DIGITS = 8
 
 
@@ -83,17 +83,17 @@
     rows = evaluate(roles, costs, earlier_version)
     blocks = {role.name: _role_table(role, rows, costs.measurements) for role in roles}
     blocks["plan"] = plan_table(costs.plan)
-    blocks["passed"] = passed_table(rows)
+    blocks["passed"] = exceeded_table(rows)
     blocks["counts"] = counts_table(roles, rows)
     blocks["measurements"] = measurement_table(costs.measurements, costs.records)
     return PageTables(blocks, rows)
 
 
-def _markdown(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> list[str]:
+def _markdown(headers: Sequence[str], rows: Iterable[Sequence[str]]) -> list[str]:
     cells = [[cell.replace("|", "/") for cell in row] for row in rows]
     return [
-        "| " + " | ".join(heads) + " |",
-        "| " + " | ".join("---" for _ in heads) + " |",
+        "| " + " | ".join(headers) + " |",
+        "| " + " | ".join("---" for _ in headers) + " |",
         *("| " + " | ".join(row) + " |" for row in cells),
     ]
 
@@ -107,7 +107,7 @@
     return measurement.commit[:COMMIT_DIGITS] + changes
 
 
-def _marked(text: str, estimate: Estimate) -> str:
+def _italic_if_extrapolated(text: str, estimate: Estimate) -> str:
     """Return a text in italics where the estimate is extrapolated."""
     if estimate.basis is Basis.EXTRAPOLATED and estimate.value is not None:
         return f"*{text}*"
@@ -117,7 +117,9 @@
 def _role_table(
     role: Role, rows: Iterable[Row], measurements: Mapping[str, Measurement]
 ) -> list[str]:
-    return _markdown(ROLE_HEADS, [_role_row(row, measurements) for row in rows if row.role is role])
+    return _markdown(
+        ROLE_COLUMNS, [_role_row(row, measurements) for row in rows if row.role is role]
+    )
 
 
 def _role_row(row: Row, measurements: Mapping[str, Measurement]) -> list[str]:
@@ -132,20 +134,20 @@
         row.format_estimate(current_estimate),
         row.format_budget(),
         f"**{row.verdict}**" if row.verdict == Verdict.EXCEEDED else row.verdict,
-        _marked(_known_by(current_estimate), current_estimate),
-        _before(row),
-        ", ".join(runs) or NONE,
+        _italic_if_extrapolated(_basis_text(current_estimate), current_estimate),
+        _earlier_cell(row),
+        ", ".join(runs) or EMPTY_CELL,
         row.mechanism(),
     ]
 
 
-def _known_by(estimate: Estimate) -> str:
+def _basis_text(estimate: Estimate) -> str:
     if estimate.value is None and not estimate.unreached_reason:
         return NOT_MEASURED
-    return BASIS_WORDS[estimate.basis]
+    return BASIS_TEXTS[estimate.basis]
 
 
-def _before(row: Row) -> str:
+def _earlier_cell(row: Row) -> str:
     """Return the figure of the earlier version."""
     if row.current_estimate.basis is Basis.PLANNED:
         return (
@@ -153,8 +155,8 @@
             if row.earlier_estimate == row.current_estimate
             else row.format_estimate(row.earlier_estimate)
         )
-    text = _marked(row.format_estimate(row.earlier_estimate), row.earlier_estimate)
-    if judge(row.earlier_estimate, row.budget) == Verdict.EXCEEDED:
+    text = _italic_if_extrapolated(row.format_estimate(row.earlier_estimate), row.earlier_estimate)
+    if compare_to_budget(row.earlier_estimate, row.budget) == Verdict.EXCEEDED:
         text += ", **passed**"
     return text
 
@@ -166,16 +168,16 @@
         reason = plan.assumed.get(name)
         source = "the users" if reason is None else f"assumed: {reason}"
         rows.append((field.description, plan.format(name), source))
-    return _markdown(PLAN_HEADS, rows)
+    return _markdown(PLAN_COLUMNS, rows)
 
 
-def passed_table(rows: Iterable[Row]) -> list[str]:
+def exceeded_table(rows: Iterable[Row]) -> list[str]:
     """Return the table of passed budgets, each with the mechanism that is missing."""
-    passed = exceeded_rows(rows)
-    if not passed:
+    exceeded = exceeded_rows(rows)
+    if not exceeded:
         return ["None of those that are measured."]
     return _markdown(
-        PASSED_HEADS,
+        EXCEEDED_COLUMNS,
         [
             (
                 row.role.title,
@@ -183,10 +185,10 @@
                 row.definition.description,
                 row.format_estimate(row.current_estimate),
                 row.format_budget(),
-                BASIS_WORDS[row.current_estimate.basis],
+                BASIS_TEXTS[row.current_estimate.basis],
                 row.mechanism(),
             )
-            for row in passed
+            for row in exceeded
         ],
     )
 
@@ -194,7 +196,7 @@
 def counts_table(roles: Iterable[Role], rows: Sequence[Row]) -> list[str]:
     """Return the table of how many rows of each role hold, pass, or were not measured."""
     return _markdown(
-        COUNTS_HEADS,
+        COUNTS_COLUMNS,
         [_counts_row(role, [row for row in rows if row.role is role]) for role in roles],
     )
 
@@ -237,22 +239,22 @@
             rows.append(_record_row(key, measurement, record, record.brokers))
         else:
             rows.append(_measurement_row(key, measurement))
-    return _markdown(MEASUREMENT_HEADS, rows)
+    return _markdown(MEASUREMENT_COLUMNS, rows)
 
 
 def _record_row(
     key: str, measurement: Measurement, record: ScaleRecord, brokers: float
 ) -> list[str]:
-    clocks = sorted({"wall" if is_real(name) else "step" for name in record.figures})
+    clocks = sorted({"wall" if is_real_broker_figure(name) else "step" for name in record.figures})
     return [
         f"`{key}`",
         f"a scale run of {record.engines:,.0f} engines",
         f"brokers: {brokers:,.0f}",
         f"{len(record.figures)} figures",
-        NONE,
-        NONE,
-        NONE,
-        NONE,
+        EMPTY_CELL,
+        EMPTY_CELL,
+        EMPTY_CELL,
+        EMPTY_CELL,
         " and ".join(clocks),
         _commit(measurement),
         f"`{measurement.command}`",
@@ -266,16 +268,16 @@
         sizes += f" to {format_number(points[-1].x)}"
     fit = measurement.fit
     line = format_number(points[0].y)
-    worst_residual = NONE
-    linear_to = NONE
+    worst_residual = EMPTY_CELL
+    linear_to = EMPTY_CELL
     if fit is not None:
         line = f"{format_number(fit.base)} + {format_number(fit.slope)} each"
         worst_residual = _percent(max(map(abs, fit.residuals)))
         linear_to = format_number(fit.linear_to)
     return [
         f"`{key}`",
-        f"{measurement.what}, {measurement.unit}",
-        f"{measurement.by}: {sizes}",
+        f"{measurement.description}, {measurement.unit}",
+        f"{measurement.size_label}: {sizes}",
         str(len(points)),
         line,
         worst_residual,
--- a/umberusher/capacity/units.py
+++ b/umberusher/capacity/units.py
@@ -76,7 +76,7 @@
     dimension: Dimension
 
 
-def _multiplied(one: Dimension, other: Dimension, sign: int) -> Dimension:
+def _multiply_dimensions(one: Dimension, other: Dimension, sign: int) -> Dimension:
     """Return the dimension of a product (``sign`` 1) or a quotient (-1)."""
     exponents = dict(one)
     for base, power in other:
@@ -103,7 +103,7 @@
             unit = UNITS[word]
             scale = scale / unit.scale if place else scale * unit.scale
             if unit.base:
-                dimension = _multiplied(dimension, ((unit.base, 1),), sign)
+                dimension = _multiply_dimensions(dimension, ((unit.base, 1),), sign)
     return ParsedUnit(scale, dimension)
 
 
@@ -167,12 +167,16 @@
         return Quantity(self.value - other.value, self.dimension)
 
     def __mul__(self, other: Quantity) -> Quantity:
-        return Quantity(self.value * other.value, _multiplied(self.dimension, other.dimension, 1))
+        return Quantity(
+            self.value * other.value, _multiply_dimensions(self.dimension, other.dimension, 1)
+        )
 
     def __truediv__(self, other: Quantity) -> Quantity:
         if not other.value:
             raise UnitError("divided by nothing")
-        return Quantity(self.value / other.value, _multiplied(self.dimension, other.dimension, -1))
+        return Quantity(
+            self.value / other.value, _multiply_dimensions(self.dimension, other.dimension, -1)
+        )
 
     def __le__(self, other: Quantity) -> bool:
         self._check_same_dimension(other)
