--- a/umberusher/capacity/__init__.py
+++ b/umberusher/capacity/__init__.py
@@ -1,6 +1,6 @@
-"""What the planned size asks of each role, by costs that were measured.
+"""Computes what each role needs at the planned size from measured costs.
 
-No I/O, and nothing of the broker. ``plan`` has the numbers to plan with, ``measurement`` and
-``scale_records`` read what was measured, ``measured_costs`` gives costs at the planned size,
-``roles`` names what each role needs, and ``tables`` and ``page`` write and check the capacity page.
+Does no I/O and uses no code of the broker. ``plan`` has the numbers to plan with, ``measurement``
+and ``scale_records`` read measurements, ``measured_costs`` gives costs at the planned size,
+``roles`` lists what each role needs, and ``tables`` and ``page`` write and check the capacity page.
 """
--- a/umberusher/capacity/budget_rows.py
+++ b/umberusher/capacity/budget_rows.py
@@ -1,4 +1,4 @@
-"""The rows of the capacity page: what each role needs, its budget, and whether it is kept."""
+"""The rows of the capacity page: what each role needs, its budget, and whether it is met."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Verdict(StrEnum):
-    """Whether a budget is kept; the value is its word on the page."""
+    """Whether a budget is met; the value is the text on the page."""
 
     MET = "held"
     EXCEEDED = "passed"
@@ -26,7 +26,7 @@
 
 
 class Resource(StrEnum):
-    """What a row is a need of; the value is its word on the page."""
+    """The resource that a row is about; the value is the text on the page."""
 
     STATE = "state"
     MESSAGES = "messages"
@@ -36,7 +36,7 @@
 
 
 class Moment(StrEnum):
-    """When a row holds; the value is its words on the page."""
+    """The situation that a row describes; the value is the text on the page."""
 
     ORDINARY = "ordinary"
     RACK_LOST = "a rack"
@@ -55,15 +55,15 @@
     """One need of a role.
 
     Attributes:
-        resource: What is needed.
-        moment: When.
-        description: What it is, in words.
-        unit: The unit in which it and its budget are shown.
-        formula: Returns the figure.
-        budget: A field of the plan or a constant of the program; empty if nothing bounds it.
-        mechanism: What carries it.
-        missing_mechanism: What does not exist, told where the budget is passed or nothing
-            carries it.
+        resource: The resource that is needed.
+        moment: The situation in which it is needed.
+        description: What is needed, in words.
+        unit: The unit in which the figure and its budget are shown.
+        formula: Computes the figure from the costs.
+        budget: The name of a plan field or program constant; empty if the figure has no limit.
+        mechanism: The mechanism of the program that provides for the need.
+        missing_mechanism: The mechanism that the program lacks; shown if the budget is exceeded
+            or ``mechanism`` is empty.
     """
 
     resource: Resource
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Role:
-    """One part of the whole.
+    """One role of the system, such as broker or engine.
 
     Attributes:
         name: The name of its block on the page.
@@ -93,14 +93,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """A row, evaluated and judged.
+    """A row with its figures, compared to its budget.
 
     Attributes:
         role: Its role.
-        definition: What it is.
+        definition: Its definition.
         current_estimate: Its figure, from measurements of the current version.
-        budget: Its bound.
-        verdict: Whether the bound is kept.
+        budget: The limit of its figure; None if it has none.
+        verdict: Whether the current figure meets the budget.
         earlier_estimate: Its figure, from measurements of the earlier version.
     """
 
@@ -126,12 +126,12 @@
         return format_quantity(self.budget, self.definition.unit)
 
     def name(self) -> str:
-        """Return which row it is, in words."""
+        """Return the role, moment and description that identify the row."""
         definition = self.definition
         return f"{self.role.title}, {definition.moment}: {definition.description}"
 
     def mechanism(self) -> str:
-        """Return what carries the row, or what is missing."""
+        """Return the mechanism that provides for the row, or the missing one."""
         definition = self.definition
         if self.verdict != Verdict.EXCEEDED and definition.mechanism:
             return definition.mechanism
@@ -141,9 +141,9 @@
 
 
 def compare_to_budget(estimate: Estimate, budget: Quantity | None) -> Verdict:
-    """Return whether a figure keeps its budget.
+    """Return whether a figure meets its budget.
 
-    One that was not reached when it was measured passes it.
+    A size that the measurement did not reach counts as an exceeded budget.
     """
     if budget is None:
         return Verdict.UNBOUNDED
@@ -158,10 +158,10 @@
     Args:
         roles: The roles.
         costs: The costs at the planned size.
-        earlier_version: The suffix of the measurements to compare with.
+        earlier_version: The key suffix of the measurements to compare with.
 
     Raises:
-        UnitError: A row's formula gives a wrong unit; it names the row.
+        UnitError: A row's formula returns a wrong unit; the message names the row.
     """
     earlier_costs = costs.of_version(earlier_version)
     rows = []
@@ -183,7 +183,7 @@
     budget = costs.budget(definition.budget)
     for quantity in (current_estimate.value, earlier_estimate.value, budget):
         if quantity is not None:
-            # Raises where the unit is another.
+            # Raises UnitError if the quantity has another dimension.
             quantity.to(definition.unit)
     return Row(
         role,
@@ -196,5 +196,5 @@
 
 
 def exceeded_rows(rows: Iterable[Row]) -> list[Row]:
-    """Return the rows whose budget is passed."""
+    """Return the rows whose budget is exceeded."""
     return [row for row in rows if row.verdict == Verdict.EXCEEDED]
--- a/umberusher/capacity/estimates.py
+++ b/umberusher/capacity/estimates.py
@@ -1,6 +1,6 @@
-"""Figures with what is known of them: a sum is as sure as the least sure of its parts.
+"""Figures with how they were obtained: a result is as certain as its least certain operand.
 
-What was not measured stays so in every sum that it is a part of.
+A result with an operand that was not measured counts as not measured.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class Basis(IntEnum):
-    """How a figure is known, the surest first.
+    """How a figure was obtained, the most certain way first.
 
     Attributes:
-        PLANNED: Of the plan and the program's constants alone.
-        RAN: Measured at this size.
-        PLAYED: At this size, by simulated brokers and engines on the step clock.
-        SUMMED: Of what was measured in this range.
-        EXTRAPOLATED: Beyond what was measured, or from one process to many.
+        PLANNED: Computed from the plan and the program's constants alone.
+        MEASURED: Measured at this size.
+        SIMULATED: Measured at this size with simulated brokers and engines on the step clock.
+        CALCULATED: Calculated from measurements, within their range of sizes.
+        EXTRAPOLATED: Beyond the measured range of sizes, or from one process to many.
     """
 
     PLANNED = 0
@@ -51,11 +51,11 @@
     """A figure with its basis.
 
     Attributes:
-        value: The figure; None where a part was not measured, or not reached when measured.
-        basis: How it is known.
-        sources: Keys of the measurements that it is made of.
-        absent: Keys of measurements that do not exist.
-        unreached_reason: Why it was not reached when measured.
+        value: The figure; None if an operand was not measured, or its size was not reached.
+        basis: How the figure was obtained.
+        sources: Keys of the measurements that it is computed from.
+        absent: Keys of measurements that it needs and that do not exist.
+        unreached_reason: Why a measurement did not reach the size; empty if all did.
     """
 
     value: Quantity | None
@@ -67,7 +67,7 @@
     def _combined(
         self, other: Estimate | Quantity, value: Quantity | None, basis_floor: Basis
     ) -> Estimate:
-        """Return an estimate made of this and another, at most as sure as ``basis_floor``."""
+        """Return the combination with another; with measured data no surer than ``basis_floor``."""
         right = other if isinstance(other, Estimate) else Estimate(other)
         basis = max(self.basis, right.basis)
         if self.sources or right.sources:
@@ -81,7 +81,7 @@
         )
 
     def _operands(self, other: Estimate | Quantity) -> Operands | None:
-        """Return both values, or None if one is not known."""
+        """Return both values, or None if one is unknown."""
         value = other.value if isinstance(other, Estimate) else other
         if self.value is None or value is None:
             return None
@@ -95,8 +95,8 @@
     def __mul__(self, other: Estimate | Quantity) -> Estimate:
         """Return the product.
 
-        What is measured on one broker and multiplied by brokers is extrapolated: many share what
-        they use.
+        A cost of one broker multiplied by a number of brokers is extrapolated: many brokers share
+        resources that the measured one had to itself.
         """
         operands = self._operands(other)
         value = operands and operands.left * operands.right
@@ -114,7 +114,7 @@
 
 
 def smaller(one: Estimate, other: Estimate) -> Estimate:
-    """Return the smaller of two bounds, or one that is not known."""
+    """Return the smaller of two estimates, or one that is unknown."""
     if one.value is None:
         return one
     if other.value is None:
--- a/umberusher/capacity/line_fit.py
+++ b/umberusher/capacity/line_fit.py
@@ -1,4 +1,4 @@
-"""The line through points measured at several sizes, their distance from it, and its bend."""
+"""Fits a line to points measured at several sizes, and finds where the points leave it."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-# Relative: over the spread that rounds on one machine show, under the doubling that a bend brings.
+# Relative: above the spread between rounds on one machine, below the doubling at a bend.
 BEND_TOLERANCE = 0.25
 
 
 class Point(NamedTuple):
-    """A size and the median of what was measured there."""
+    """A size and the median of the values measured there."""
 
     x: float
     y: float
@@ -32,15 +32,14 @@
 
 @dataclass(slots=True)
 class LineFit:
-    """A least-squares line, in the unit of what was measured.
+    """A least-squares line in the unit of the measured values.
 
     Attributes:
         base: Its value at 0.
-        slope: Its rise by one.
-        residuals: By point: the relative difference of the point from the line; 0.1 is a tenth
-            above it.
-        linear_to: The largest size up to which each point lies on the line that the points below
-            it give.
+        slope: Its rise per unit of size.
+        residuals: For each point, its relative difference from the line; 0.1 is a tenth above it.
+        linear_to: The largest size up to which each point lies on the line through the points
+            below it.
     """
 
     base: float
@@ -54,7 +53,7 @@
 
 
 def relative_difference(measured: float, expected: float) -> float:
-    """Return how far one figure is above another, relative to the larger: finite where one is 0."""
+    """Return how far one figure is above another, relative to the larger: finite if one is 0."""
     size = max(abs(measured), abs(expected))
     return (measured - expected) / size if size else 0.0
 
@@ -68,13 +67,13 @@
 
 
 def fit_line(points: Sequence[tuple[float, float]], tolerance: float = BEND_TOLERANCE) -> LineFit:
-    """Return the line through points (size, median), and where it ends.
+    """Return the line through points (size, median), and the size up to which they are linear.
 
     Raises:
         ValueError: There are fewer than two points, or their sizes do not rise.
     """
     if len(points) < 2:
-        raise ValueError(f"{len(points)} points give no line, two are needed")
+        raise ValueError(f"{len(points)} points define no line; at least two are needed")
     for (low, _), (high, _) in pairwise(points):
         if high <= low:
             raise ValueError(f"x must rise, {high:g} follows {low:g}")
@@ -84,7 +83,7 @@
 
 
 def _linear_to(points: Sequence[tuple[float, float]], tolerance: float) -> float:
-    """Return the size of the last point before one that is off the line of those below it."""
+    """Return the size of the last point before the first that is off the line of those below."""
     # Any two points lie on a line.
     linear_to = points[1][0]
     for count in range(2, len(points)):
--- a/umberusher/capacity/measured_costs.py
+++ b/umberusher/capacity/measured_costs.py
@@ -14,21 +14,21 @@
 from umberusher.capacity.scale_records import ScaleRecord, is_real_broker_figure
 from umberusher.capacity.units import Quantity, UnitError, parse_unit
 
-# Suffix of the measurements of the program before it was made for this size.
+# Key suffix of the measurements of the version that was not yet designed for the planned size.
 EARLIER_VERSION = ".70bc7e5"
-# Relative: a point this near to a size is at the size.
+# Relative: sizes that differ by no more than this count as the same.
 SAME_SIZE_TOLERANCE = 0.005
 
 
 @dataclass(slots=True, frozen=True)
 class MeasurementSource:
-    """Which measurement is read, and as what.
+    """A measurement to read, and the unit that formulas use for it.
 
     Attributes:
         name: The measurement's name.
-        by: What its sizes count, as its file has it.
-        raw_unit: Its unit, as its file has it.
-        unit: What that unit means here.
+        size_label: What its sizes count, as written in its file.
+        raw_unit: Its unit, as written in its file.
+        unit: The unit that formulas use for it.
     """
 
     name: str
@@ -39,13 +39,13 @@
 
 @dataclass(slots=True, frozen=True)
 class SceneSource:
-    """Which figure of a scale run is read, and as what.
+    """A figure of a scale run to read, and the unit that formulas use for it.
 
     Attributes:
         name: The run's name.
-        figure: Scene and figure, as the record has them.
-        raw_unit: The figure's unit, as the record has it.
-        unit: What that unit means here.
+        figure: Scene and figure, as written in the record.
+        raw_unit: The figure's unit, as written in the record.
+        unit: The unit that formulas use for it.
     """
 
     name: str
@@ -55,7 +55,7 @@
 
 
 class InterpolatedCost(NamedTuple):
-    """A measurement's figure at a size, and how it is known."""
+    """A measurement's figure at a size, and how it was obtained."""
 
     value: float
     basis: Basis
@@ -67,14 +67,14 @@
 
 
 def interpolate(measurement: Measurement, x: float) -> InterpolatedCost:
-    """Return a measurement's figure at a size: the measured point, else its fit.
+    """Return a measurement's figure at a size: that of the measured point, else of the fit.
 
-    Where not all points lie on one line, it is the line between the two points beside it, or
-    through the two last ones. Beyond the ends a figure never falls under that of the nearest
-    point: guards against a line that runs below 0.
+    If not all points lie on one line, the line between the two neighbouring points replaces the
+    fit within the measured range, and the line through the last two points above it. Outside the
+    range a figure is never below that of the nearest point, since a line may run below 0.
 
     Raises:
-        UnitError: It was measured at one other size only.
+        UnitError: The measurement has a single point, at another size.
     """
     points = measurement.medians()
     for point in points:
@@ -105,7 +105,7 @@
 
 
 def _interpolate_between(points: list[Point], x: float) -> float:
-    """Return the figure on the line between the two points beside a size."""
+    """Return the figure on the line between the two points next to a size."""
     low, high = next(pair for pair in pairwise(points) if pair[1].x >= x)
     return low.y + (high.y - low.y) / (high.x - low.x) * (x - low.x)
 
@@ -118,7 +118,7 @@
         program: The program's constants by name.
         measurements: The measurements by key.
         records: The scale runs by key.
-        version: The suffix of the measurements that are read; empty for the program of now.
+        version: The key suffix of the measurements to read; empty for the current version.
     """
 
     def __init__(
@@ -136,11 +136,11 @@
         self.version = version
 
     def of_version(self, version: str) -> MeasuredCosts:
-        """Return the same costs of another version's measurements."""
+        """Return the costs by another version's measurements."""
         return MeasuredCosts(self.plan, self.program, self.measurements, self.records, version)
 
     def budget(self, name: str) -> Quantity | None:
-        """Return a number of the plan or a constant of the program; None without a name."""
+        """Return a plan field or program constant by name; None if the name is empty."""
         if not name:
             return None
         return self.plan.values[name] if name in self.plan.values else self.program[name]
@@ -148,7 +148,7 @@
     def _measurement_key(self, name: str) -> str:
         """Return the key of a measurement of this version.
 
-        Where the program of now has none, it is the newest since the earlier version.
+        If the current version has none, it is the newest one apart from the earlier version's.
         """
         if self.version or name in self.measurements:
             return name + self.version
@@ -160,14 +160,14 @@
         return max(others, key=lambda key: self.measurements[key].measured_at, default=name)
 
     def cost(self, source: MeasurementSource, size: Quantity | float | None = None) -> Estimate:
-        """Return what a measurement gives at a size, in the units of what it counts by.
+        """Return the cost that a measurement gives at a size, in the unit of its source.
 
         Args:
-            source: Which measurement to read.
-            size: The size; None is its largest.
+            source: The measurement to read.
+            size: The size; None for the largest measured one.
 
         Raises:
-            UnitError: Its file measures in another unit, or by something else, than is read here.
+            UnitError: The file has another unit or another size label than the source.
         """
         key = self._measurement_key(source.name)
         measurement = self.measurements.get(key)
@@ -184,10 +184,10 @@
         return Estimate(Quantity(cost.value * unit.scale, unit.dimension), cost.basis, (key,))
 
     def scene_figure(self, source: SceneSource) -> Estimate:
-        """Return a figure of a scale run; none where that scene, or this size, was not played.
+        """Return a figure of a scale run; without a value if scene or planned size were not run.
 
         Raises:
-            UnitError: The record has the figure in another unit than is read here.
+            UnitError: The record has the figure in another unit than the source.
         """
         key = self._measurement_key(source.name)
         record = self.records.get(key)
--- a/umberusher/capacity/measurement.py
+++ b/umberusher/capacity/measurement.py
@@ -1,7 +1,7 @@
-"""Measurements as they are kept in `measurements/`: their form and its checks.
+"""Measurements as stored in `measurements/`: their format and its checks.
 
-No I/O: a file is parsed elsewhere. The kept fit is compared with the points, so that a point that
-was changed by hand shows.
+No I/O: files are parsed elsewhere. The stored fit is compared with the points, which reveals points
+that were edited by hand.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 FORMAT_VERSION = 1
 ROLES = ("broker", "discovery", "engine", "client connection", "tools")
-# Of the machine, of a scale run, or no time is in the figure: bytes, messages.
+# Clock of the machine, clock of a scale run, or none: counts such as bytes and messages.
 CLOCKS = ("wall", "step", "counted")
-# Relative: a kept fit is rounded to six digits.
+# Relative: a stored fit is rounded to six digits.
 FIT_TOLERANCE = 1e-3
 NAME_PATTERN = re.compile(r"[a-z0-9]+(-[a-z0-9]+)*")
 COMMIT_PATTERN = re.compile(r"[0-9a-f]{40}")
@@ -27,14 +27,14 @@
 
 
 class MeasuredPoint(NamedTuple):
-    """A size, and what was measured there, one value a round."""
+    """A size, and the values measured there, one per round."""
 
     x: float
     values: list[float]
 
 
 class UnreachedPoint(NamedTuple):
-    """A size at which no value was got, and why."""
+    """A size at which the measurement did not succeed, and why."""
 
     x: float
     reason: str
@@ -42,23 +42,23 @@
 
 @dataclass(slots=True)
 class Measurement:
-    """One thing measured at one size or more, with what is needed to measure it again.
+    """One cost measured at one or more sizes, with what is needed to repeat the measurement.
 
     Attributes:
         name: Lower-case words joined by ``-``.
-        role: The role whose cost it is.
-        what: What was measured.
-        by: What the sizes count.
+        role: The role that has the cost.
+        description: What was measured.
+        size_label: What the sizes count.
         unit: The unit of the values.
-        command: The command that measures it again.
-        commit: The commit of the program that was measured.
+        command: The command that repeats the measurement.
+        commit: The commit of the measured program.
         clock: One of ``CLOCKS``.
-        points: By rising size.
-        fit: The line through the medians; None where there is one point.
-        dirty: Whether the measured program was not as committed.
-        at: When it was measured, UTC.
-        machine: What it was measured on.
-        unreached: Sizes without values.
+        points: The measured points in order of size.
+        fit: The line through the medians; None if there is only one point.
+        dirty: Whether the measured program had uncommitted changes.
+        measured_at: The time of the measurement, UTC.
+        machine: The machine of the measurement.
+        unreached: Sizes at which the measurement did not succeed.
     """
 
     name: str
@@ -93,7 +93,7 @@
     """Return a measurement from its parsed JSON.
 
     Raises:
-        ValueError: It is none; one line ``file: field: what is wrong``.
+        ValueError: The document is no valid measurement; one line ``file: field: reason``.
     """
     if not isinstance(raw, Mapping):
         raise ValueError(f"{file}: v: must be an object with the fields of a measurement")
@@ -153,7 +153,7 @@
             raise reader.error(f"{name}.x", f"must rise, {x:g} follows {points[-1].x:g}")
         values = item["values"]
         if not isinstance(values, list) or len(values) != rounds:
-            raise reader.error(f"{name}.values", f"must be a list of {rounds}, one a round")
+            raise reader.error(f"{name}.values", f"must be a list of {rounds}, one per round")
         checked = [reader.non_negative(value, f"{name}.values") for value in values]
         points.append(MeasuredPoint(x, checked))
     return points
@@ -174,9 +174,9 @@
 
 
 def _read_fit(reader: FieldReader, points: list[Point]) -> LineFit | None:
-    """Return the fit of the points, once the kept one agrees with it.
+    """Return the fit of the points after a check that the stored one agrees with it.
 
-    Guards the page against points that were changed without their fit.
+    The check keeps points that were edited without their fit off the page.
     """
     stored = reader.raw.get("fit")
     if len(points) < 2:
@@ -209,7 +209,7 @@
     name = "fit.residuals"
     count = len(expected.residuals)
     if not isinstance(stored, list) or len(stored) != count:
-        raise reader.error(name, f"must be a list of {count}, one a point")
+        raise reader.error(name, f"must be a list of {count}, one per point")
     for value, residual in zip(stored, expected.residuals, strict=True):
         if abs(reader.number(value, name) - residual) > FIT_TOLERANCE:
             raise reader.error(name, f"has {value!r}, the points give {residual:.6g}")
--- a/umberusher/capacity/page.py
+++ b/umberusher/capacity/page.py
@@ -1,7 +1,6 @@
-"""The capacity page: prose by hand and, between markers, tables made from measurements and plan.
+"""The capacity page: hand-written prose and, between markers, tables from measurements and plan.
 
-Outside of the markers no measured figure may stand: only numbers of the plan, and constants of the
-program.
+The prose may not contain measured figures, only numbers of the plan and constants of the program.
 """
 
 from __future__ import annotations
@@ -23,19 +22,19 @@
 QUOTED_MEASUREMENT = re.compile(r"^\| `([a-z0-9.-]+)` \|")
 # Relative: a number of the plan may be rounded in prose.
 ROUNDING_TOLERANCE = 0.005
-# Characters shown before and behind the place where two lines differ.
+# Characters shown before and after the position where two lines differ.
 EXCERPT_CHARS_BEFORE = 30
 EXCERPT_CHARS_AFTER = 50
 MISSING_LINE = "nothing"
 
 
 class PageError(ValueError):
-    """The page's markers cannot be read; one line that names the page's line."""
+    """The page's markers are malformed; the message is one line that names the page's line."""
 
 
 @dataclass(slots=True)
 class Block:
-    """The lines between two markers; ``first_line`` is the number of the first, from 1."""
+    """The lines between two markers; ``first_line`` is the number of the first, counted from 1."""
 
     name: str
     first_line: int
@@ -46,7 +45,7 @@
     """Return the blocks of a page.
 
     Raises:
-        PageError: A marker is alone, or a name is there twice.
+        PageError: A marker has no counterpart, blocks are nested, or a name is used twice.
     """
     blocks: list[Block] = []
     current: Block | None = None
@@ -73,7 +72,7 @@
 
 
 def render(text: str, tables: Mapping[str, list[str]]) -> str:
-    """Return the page with its blocks made anew.
+    """Return the page with the content of its blocks replaced by the tables.
 
     Raises:
         PageError: The page has a block for which there is no table.
@@ -88,7 +87,7 @@
 
 
 def allowed_quantities(plan: Plan, program: Mapping[str, Quantity]) -> list[Quantity]:
-    """Return what prose may tell: numbers of the plan, and the program's constants."""
+    """Return the quantities that prose may state: numbers of the plan and program constants."""
     return [*plan.values.values(), *program.values()]
 
 
@@ -98,13 +97,13 @@
     rows: Iterable[Row],
     allowed: Sequence[Quantity],
 ) -> list[str]:
-    """Return where the page is not what the measurements and the plan give, a line each.
+    """Return one line for each place where the page disagrees with measurements and plan.
 
     Args:
         text: The page.
         tables: The tables that it must have, by block.
         rows: The rows of the tables.
-        allowed: The quantities that prose may tell.
+        allowed: The quantities that prose may state.
     """
     try:
         blocks = read_blocks(text)
@@ -140,7 +139,7 @@
 
 
 def _missing_measurement_faults(block: Block, table: Sequence[str]) -> list[str]:
-    """Return the measurements that the page quotes and that do not exist."""
+    """Return a fault for each measurement that the page quotes and that does not exist."""
     rows = "\n".join(table)
     quoted = [match[1] for line in block.lines if (match := QUOTED_MEASUREMENT.match(line))]
     return [
@@ -151,7 +150,7 @@
 
 
 def _exceeded_budget_faults(block: Block | None, rows: Iterable[Row]) -> list[str]:
-    """Return the passed budgets that the page does not tell, or not what is missing."""
+    """Return faults for exceeded budgets that the page omits or that name no missing mechanism."""
     faults = []
     lines = block.lines if block else []
     for row in exceeded_rows(rows):
@@ -167,7 +166,7 @@
 def _disallowed_figures(
     text: str, blocks: Iterable[Block], allowed: Sequence[Quantity]
 ) -> Iterator[str]:
-    """Yield the figures of the prose that are none of the allowed quantities."""
+    """Yield a fault for each figure of the prose that equals no allowed quantity."""
     table_lines = {
         number
         for block in blocks
@@ -182,12 +181,12 @@
             if not any(_is_same_number(quantity, each) for each in allowed):
                 yield (
                     f"line {number}: {match[0]!r} stands outside of the tables, and is neither "
-                    "the plan's nor a constant of the program"
+                    "a number of the plan nor a constant of the program"
                 )
 
 
 def _is_same_number(one: Quantity, other: Quantity) -> bool:
-    """Return whether two numbers are the same, whatever they are counted by, or a share of."""
+    """Return whether two quantities are equal, apart from counted units and cores."""
     if _without_counted_units(one) != _without_counted_units(other):
         return False
     return math.isclose(one.value, other.value, rel_tol=ROUNDING_TOLERANCE)
@@ -198,7 +197,7 @@
 
 
 def _excerpt(line: str, other: str) -> str:
-    """Return the part of a line that differs, with what is around it."""
+    """Return the part of a line around the first character that differs from another line."""
     place = min(len(line), len(other))
     for index, (one, two) in enumerate(zip(line, other, strict=False)):
         if one != two:
--- a/umberusher/capacity/plan.py
+++ b/umberusher/capacity/plan.py
@@ -1,6 +1,6 @@
-"""The numbers to plan with: what a plan's file must hold, each with its unit.
+"""The numbers to plan with: the fields that a plan's file must set, each with its unit.
 
-A plan is taken whole or not at all; each error is one line that names file, line and field.
+An error in any field rejects the plan; each error is one line that names file, line and field.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Field(NamedTuple):
-    """The unit in which a number is shown, and what it is."""
+    """The unit in which a number is shown, and its description."""
 
     unit: str
     description: str
@@ -68,7 +68,7 @@
 
 
 class PlanError(UsageError):
-    """A plan cannot be used: all that is wrong with it, a line each."""
+    """A plan is invalid; the message has a line for each error."""
 
     message_prefix = "plan: "
 
@@ -82,7 +82,7 @@
     Attributes:
         file: The plan's file, for messages.
         values: The numbers by field.
-        assumed: The reasons of those that are assumed.
+        assumed: The reasons of the assumed numbers, by field.
     """
 
     file: str
@@ -96,20 +96,20 @@
             raise AttributeError(name) from None
 
     def format(self, name: str) -> str:
-        """Return a number as a page shows it."""
+        """Return a number as the page shows it."""
         return format_quantity(self.values[name], FIELDS[name].unit)
 
 
 def read_plan(file: str, text: str, given: object) -> Plan:
-    """Return the plan that a file has set.
+    """Return the plan that a file defines.
 
     Args:
         file: The file's name, for messages.
         text: The file's text, to find the lines of fields.
-        given: What the file has set.
+        given: The value that the file gives to ``size``.
 
     Raises:
-        PlanError: Something is wrong; a line each, by file, line and field.
+        PlanError: The plan is invalid; a line for each error, with file, line and field.
     """
     if not isinstance(given, dict) or "is" in given:
         raise PlanError(f"{file}: size must be set by plan(...)")
@@ -135,7 +135,7 @@
 
 
 def _line_suffix(text: str, name: str) -> str:
-    """Return ``:N`` for the line that sets a field, or nothing where none does."""
+    """Return ``:N`` for the line that sets a field, or an empty text if none does."""
     pattern = re.compile(rf"\s*{re.escape(name)}\s*=")
     for number, line in enumerate(text.splitlines(), 1):
         if pattern.match(line):
@@ -144,7 +144,7 @@
 
 
 def _read_value(name: str, raw: object) -> Quantity:
-    """Return the number of one field; raise UnitError that says what is wrong with it."""
+    """Return the number of one field; raise UnitError with the reason if it is invalid."""
     if not isinstance(raw, dict) or raw.get("is") not in (GIVEN, ASSUMED):
         raise UnitError(
             "must be made by of(number, unit) or assumed(number, unit, why), "
@@ -157,7 +157,7 @@
     if raw["is"] == ASSUMED and (not isinstance(raw["why"], str) or not raw["why"].strip()):
         raise UnitError("is assumed without a reason")
     quantity = Quantity.of(raw["value"], raw["unit"])
-    # Raises where it measures something else.
+    # Raises UnitError if the quantity has another dimension.
     quantity.to(FIELDS[name].unit)
     if quantity.value <= 0:
         raise UnitError(f"must be over 0, not {raw['value']}")
--- a/umberusher/capacity/roles/__init__.py
+++ b/umberusher/capacity/roles/__init__.py
@@ -1,7 +1,7 @@
-"""The roles at the planned size: what each holds, is sent and spends, when, and what carries it.
+"""The roles at the planned size: the state, messages and resources of each, and their mechanisms.
 
-A row's figure is made of measurements, numbers of the plan and the program's constants: no figure
-of its own stands here.
+All figures are computed from measurements, numbers of the plan and the program's constants; these
+modules contain none of their own.
 """
 
 from umberusher.capacity.roles.broker import BROKER
--- a/umberusher/capacity/roles/broker_needs.py
+++ b/umberusher/capacity/roles/broker_needs.py
@@ -1,4 +1,4 @@
-"""What a broker holds and is sent, and its memory and time, by measurements of one broker."""
+"""A broker's state, messages, memory and times, from measurements of one broker."""
 
 from __future__ import annotations
 
--- a/umberusher/capacity/roles/broker_processor.py
+++ b/umberusher/capacity/roles/broker_processor.py
@@ -1,4 +1,4 @@
-"""What a broker needs of a processor, by measurements of one broker."""
+"""A broker's processor time, from measurements of one broker."""
 
 from __future__ import annotations
 
--- a/umberusher/capacity/roles/broker_watched.py
+++ b/umberusher/capacity/roles/broker_watched.py
@@ -1,4 +1,4 @@
-"""What was seen of real brokers with the complete list: four at once, and one watched."""
+"""Figures of real brokers with the complete endpoint list: four at once, and one observed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def real_statement_rows(phase: str, moment: Moment, mechanism: str) -> tuple[RowDefinition, ...]:
-    """Return what clients see of real brokers, at a small rate of statements."""
+    """Return the rows on what clients of real brokers observe, at a low rate of statements."""
     served = real_figure(f"{phase}: statements served", "statements", "statement")
     submitted = real_figure(f"{phase}: statements", "statements", "statement")
     return (
--- a/umberusher/capacity/roles/fleet.py
+++ b/umberusher/capacity/roles/fleet.py
@@ -1,4 +1,4 @@
-"""The role of all brokers together, as scale runs play them."""
+"""The role of all brokers together, as scale runs simulate them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def served_fraction(scene: str) -> Formula:
-    """Return the formula of the fraction of a scene's statements that was served."""
+    """Return the formula of the fraction of a scene's ended statements that were served."""
     served, *others = (
         scene_figure(scene, f"statements {word}", "statements", "statement")
         for word in ("served", "refused", "failed", "expired", "with its broker")
@@ -24,8 +24,8 @@
 
 def scene_rows(scene: str, moment: Moment) -> tuple[RowDefinition, ...]:
     """Return the rows that each scene of a scale run has."""
-    # Where no updates could be sent, times count from the return: what was changed meanwhile has a
-    # row of its own.
+    # If no updates can be sent, times count from the end of the interruption: changes that are
+    # made during it have a row of their own.
     no_updates = moment in (Moment.REGIONS_APART, Moment.CONTROL_ALL_LOST)
     return (
         RowDefinition(
@@ -71,8 +71,9 @@
             if no_updates
             else ()
         ),
-        # The scene of update bursts plays them far closer together than a day has them: what its
-        # bytes come to a second is no figure of the size. A day's bursts are a row of the broker.
+        # The scene of update bursts plays them far closer together than they occur in a day, so
+        # its bytes per second do not describe the planned size and have no budget. A day's bursts
+        # are a row of the broker.
         RowDefinition(
             Resource.MESSAGES,
             moment,
@@ -165,7 +166,7 @@
         *scene_rows("lumps", Moment.UPDATE_BURST),
         *scene_rows("zone_lost", Moment.ZONE_LOST),
         *scene_rows("region_start", Moment.REGION_START),
-        # No budget: on the step clock neither the list's bytes nor its reading take any time.
+        # No budget: on the step clock, transfer and parsing of the list take no time.
         RowDefinition(
             Resource.TIME,
             Moment.REGION_START,
--- a/umberusher/capacity/roles/formulas.py
+++ b/umberusher/capacity/roles/formulas.py
@@ -12,12 +12,12 @@
 
 
 def planned(get: Callable[[MeasuredCosts], Quantity]) -> Formula:
-    """Return a formula of the plan and the program's constants alone."""
+    """Return a formula that uses the plan and the program's constants alone."""
     return lambda costs: Estimate(get(costs))
 
 
 def size_ratio(source: MeasurementSource) -> Formula:
-    """Return the formula of a cost at the size over that at the size which it is compared with."""
+    """Return the formula of the ratio of a cost at the planned size to that at the compared one."""
     return lambda costs: costs.cost(source, costs.plan.engines) / costs.cost(
         source, costs.plan.engines_compared
     )
@@ -32,7 +32,7 @@
         scene: The scene.
         figure: The figure's name in the record.
         raw_unit: Its unit in the record.
-        unit: What that unit means here.
+        unit: The unit that the formula uses for it.
         run: The run's name.
     """
     return lambda costs: costs.scene_figure(SceneSource(run, f"{scene}: {figure}", raw_unit, unit))
@@ -44,10 +44,10 @@
 
 
 def watched_figure(figure: str, raw_unit: str, unit: str) -> Formula:
-    """Return the formula of a figure of one watched broker with the complete list."""
+    """Return the formula of a figure of one observed broker with the complete endpoint list."""
     return scene_figure(REAL_SCENE, figure, raw_unit, unit, "long-list")
 
 
 def at_planned_size(source: MeasurementSource) -> Formula:
-    """Return the formula of a cost with as many engines listed as the size has."""
+    """Return the formula of a cost with as many engines listed as planned."""
     return lambda costs: costs.cost(source, costs.plan.engines)
--- a/umberusher/capacity/roles/mechanisms.py
+++ b/umberusher/capacity/roles/mechanisms.py
@@ -1,6 +1,6 @@
-"""What carries the planned size, or is missing, where several roles name it.
+"""Mechanisms that several roles name: existing ones, and ones that the program lacks.
 
-The texts are those of the page; the names of modules in them follow the program.
+The texts appear on the page; the names of modules in them must match the program.
 """
 
 USERS_DISCOVERY = "the users' own discovery; measured is a stand-in"
--- a/umberusher/capacity/roles/sources.py
+++ b/umberusher/capacity/roles/sources.py
@@ -1,10 +1,10 @@
-"""Which measurements the roles' figures are read from."""
+"""The measurements that the roles' figures are read from."""
 
 from __future__ import annotations
 
 from umberusher.capacity.measured_costs import MeasurementSource
 
-# What the sizes of a measurement count, as its file has it.
+# What the sizes of a measurement count, as written in its file.
 ENGINES_LISTED = "engines listed"
 CHANGE_ENTRIES = "entries of a change"
 FOLLOWING_BROKERS = "brokers that follow it"
@@ -41,7 +41,7 @@
 ENGINE_STATEMENT_MESSAGES = MeasurementSource(
     "engine-statement-messages", STATEMENTS_OFFERED, "messages", "message/statement"
 )
-# Until it waits for updates: one complete list, where the broker can hold it.
+# Until the broker waits for updates: one complete list, if the broker can hold it.
 BROKER_START_BYTES = MeasurementSource("broker-start-bytes", ENGINES_LISTED, "B", "B/broker")
 DISCOVERY_START_CPU = MeasurementSource(
     "discovery-start-cpu", ENGINES_LISTED, "ms", "core ms/broker"
--- a/umberusher/capacity/roles/watching.py
+++ b/umberusher/capacity/roles/watching.py
@@ -1,4 +1,4 @@
-"""The role of the mechanisms that watch over the others."""
+"""The role of the mechanisms that protect the others, such as retry budget and health checks."""
 
 from __future__ import annotations
 
--- a/umberusher/capacity/scale_records.py
+++ b/umberusher/capacity/scale_records.py
@@ -1,7 +1,7 @@
-"""Records that hold more than one figure a size: scale runs by scene, and watched real brokers.
+"""Records with several figures for one size: scale runs by scene, and observed real brokers.
 
-On the step clock a run's digest is that of its figures, so that one which was changed by hand
-shows.
+A record has a digest of the figures from the step clock, which reveals figures that were edited by
+hand.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from umberusher.capacity.units import is_number
 from umberusher.scale.figures import digest
 
-# The scene of real brokers: on the wall clock, and not in the digest.
+# The scene of real brokers; it runs on the wall clock and is not part of the digest.
 REAL_SCENE = "real"
-# The units of watched figures, by how their names end; the first that fits counts.
+# Units of observed figures by the suffix of their names; the first match applies.
 UNITS_BY_SUFFIX = {"kb_s": "KB/s", "_mb": "MB", "_ms": "ms", "share": "% of a core", "_s": "s"}
 
 
@@ -29,13 +29,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ScaleRecord:
-    """The figures of a run, and the size it was played at.
+    """The figures of a run, and the size of its fleet.
 
     Attributes:
-        figures: By ``scene: name``.
-        brokers: Brokers that were played; None where one real broker was watched.
-        engines: Engines that were listed.
-        unreached_reason: Why there are no figures; empty where there are.
+        figures: The figures by ``scene: name``.
+        brokers: The number of simulated brokers; None if one real broker was observed.
+        engines: The number of engines in the endpoint list.
+        unreached_reason: Why there are no figures; empty if there are some.
     """
 
     figures: Mapping[str, RecordedFigure]
@@ -45,21 +45,21 @@
 
 
 def is_real_broker_figure(figure: str) -> bool:
-    """Return whether a figure is of real brokers, and so of the wall clock."""
+    """Return whether a figure is of real brokers, and thus was measured on the wall clock."""
     return figure.startswith(f"{REAL_SCENE}: ")
 
 
 def read_watched_brokers(raw: Mapping[str, Any], file: str) -> dict[str, ScaleRecord]:
-    """Return the records of real brokers of several versions, watched in one run.
+    """Return the records of real brokers of several versions that were observed in one run.
 
-    The figures are medians over rounds, their units go by their names' ends. A version of which a
-    round has no figures has none, and the reason.
+    The figures are medians over rounds, with units by the suffixes of their names. If any round of
+    a version has no figures, the version's record has the reason in place of figures.
 
     Returns:
         The records by version.
 
     Raises:
-        ValueError: The record's form is wrong; one line ``file: field: what is wrong``.
+        ValueError: The record is malformed; one line ``file: field: reason``.
     """
     try:
         return {
@@ -96,7 +96,7 @@
     """Return the record of a scale run.
 
     Raises:
-        ValueError: It is none, or was changed; one line ``file: field: what is wrong``.
+        ValueError: It is invalid or was edited; one line ``file: field: reason``.
     """
     figures = raw.get("figures")
     size = raw.get("size")
--- a/umberusher/capacity/tables.py
+++ b/umberusher/capacity/tables.py
@@ -62,7 +62,7 @@
 
 
 class PageTables(NamedTuple):
-    """All tables of the page by their blocks' names, and the rows that they were made of."""
+    """All tables of the page by the names of their blocks, and the rows that they show."""
 
     blocks: dict[str, list[str]]
     rows: list[Row]
@@ -74,10 +74,10 @@
     Args:
         roles: The roles, with a table each.
         costs: The costs at the planned size.
-        earlier_version: The suffix of the measurements to compare with.
+        earlier_version: The key suffix of the measurements to compare with.
 
     Raises:
-        UnitError: A row's formula gives a wrong unit.
+        UnitError: A row's formula returns a wrong unit.
     """
     roles = list(roles)
     rows = evaluate(roles, costs, earlier_version)
@@ -108,7 +108,7 @@
 
 
 def _italic_if_extrapolated(text: str, estimate: Estimate) -> str:
-    """Return a text in italics where the estimate is extrapolated."""
+    """Return a text, in italics if the estimate is extrapolated."""
     if estimate.basis is Basis.EXTRAPOLATED and estimate.value is not None:
         return f"*{text}*"
     return text
@@ -148,7 +148,7 @@
 
 
 def _earlier_cell(row: Row) -> str:
-    """Return the figure of the earlier version."""
+    """Return the table cell for the figure of the earlier version."""
     if row.current_estimate.basis is Basis.PLANNED:
         return (
             "the same"
@@ -172,7 +172,7 @@
 
 
 def exceeded_table(rows: Iterable[Row]) -> list[str]:
-    """Return the table of passed budgets, each with the mechanism that is missing."""
+    """Return the table of exceeded budgets, each with the missing mechanism."""
     exceeded = exceeded_rows(rows)
     if not exceeded:
         return ["None of those that are measured."]
@@ -194,7 +194,7 @@
 
 
 def counts_table(roles: Iterable[Role], rows: Sequence[Row]) -> list[str]:
-    """Return the table of how many rows of each role hold, pass, or were not measured."""
+    """Return the table of how many rows of each role meet their budget, exceed it, or lack data."""
     return _markdown(
         COUNTS_COLUMNS,
         [_counts_row(role, [row for row in rows if row.role is role]) for role in roles],
@@ -228,7 +228,7 @@
 def measurement_table(
     measurements: Mapping[str, Measurement], records: Mapping[str, ScaleRecord]
 ) -> list[str]:
-    """Return the table of all that was measured, with what is needed to measure it again."""
+    """Return the table of all measurements, with what is needed to repeat them."""
     if not measurements:
         return ["Nothing has been measured."]
     rows = []
--- a/umberusher/capacity/units.py
+++ b/umberusher/capacity/units.py
@@ -1,8 +1,8 @@
-"""Quantities with units: sums and products in which a wrong unit is an error and not a figure.
+"""Quantities with units: sums and products in which a wrong unit raises an error.
 
-What is counted (brokers, engines, changes) is a unit like a second is, so a cost of each broker
-cannot be held against a budget of all of them. Processor time is ``core`` times time; a core alone
-is its rate.
+Counted things (brokers, engines, changes) are units like seconds, so that a cost per broker cannot
+be compared with a budget for all brokers. Processor time is ``core`` times time; ``core`` alone is
+processor time per time.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
     "statement",
     "zone",
 )
-# Of a rejected value, in messages.
+# How much of a rejected value error messages show.
 SHOWN_VALUE_MAX_CHARS = 40
 SIGNIFICANT_DIGITS = 3
 VOWELS = "aei"
 
 
 class Unit(NamedTuple):
-    """How many of its base unit a unit is; the base of a plain number is empty."""
+    """A unit's scale to its base unit; the base of a plain number is empty."""
 
     scale: float
     base: str
@@ -62,10 +62,10 @@
 
 
 class UnitError(ValueError):
-    """A unit does not exist, or quantities of different units are summed or compared."""
+    """A unit does not exist, or quantities of different dimensions are summed or compared."""
 
 
-# Exponents by base unit, in order, none of them 0.
+# Exponents other than 0 by base unit, sorted by unit.
 Dimension = tuple[tuple[str, int], ...]
 
 
@@ -88,7 +88,7 @@
     """Return a unit such as ``% core/broker`` in base units.
 
     Raises:
-        UnitError: The text is no unit.
+        UnitError: The text contains an unknown unit or an empty part.
     """
     scale = 1.0
     dimension: Dimension = ()
@@ -108,14 +108,14 @@
 
 
 def dimension_text(dimension: Dimension) -> str:
-    """Return a dimension as messages show it."""
+    """Return a dimension as error messages show it."""
     above = [base for base, power in dimension for _ in range(power)]
     below = [base for base, power in dimension for _ in range(-power)]
     return "/".join([" ".join(above) or "1", *below])
 
 
 def is_number(value: object) -> TypeGuard[float]:
-    """Return whether a value is a finite number, and no truth value."""
+    """Return whether a value is a finite number; a boolean is none."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
     return math.isfinite(value)
@@ -130,7 +130,7 @@
 
     @classmethod
     def of(cls, value: float, unit: str) -> Quantity:
-        """Return so much of a unit.
+        """Return the quantity that is ``value`` times a unit.
 
         Raises:
             UnitError: The number is not finite, or there is no such unit.
@@ -141,10 +141,10 @@
         return cls(value * parsed.scale, parsed.dimension)
 
     def to(self, unit: str) -> float:
-        """Return the number in a unit.
+        """Return the quantity's number in a unit.
 
         Raises:
-            UnitError: The unit measures something else.
+            UnitError: The unit has another dimension.
         """
         parsed = parse_unit(unit)
         if parsed.dimension != self.dimension:
@@ -173,7 +173,7 @@
 
     def __truediv__(self, other: Quantity) -> Quantity:
         if not other.value:
-            raise UnitError("divided by nothing")
+            raise UnitError("division by zero")
         return Quantity(
             self.value / other.value, _multiply_dimensions(self.dimension, other.dimension, -1)
         )
@@ -184,7 +184,7 @@
 
 
 def format_number(value: float) -> str:
-    """Return a number with three significant digits and with commas."""
+    """Return a number with three significant digits and commas between thousands."""
     if value == 0:
         return "0"
     decimals = SIGNIFICANT_DIGITS - 1 - math.floor(math.log10(abs(value)))
@@ -195,12 +195,12 @@
 
 
 def _unit_words(unit: str, singular: bool) -> str:
-    """Return the part of a unit above the line, as a page shows it."""
+    """Return a unit's numerator as the page shows it."""
     words = unit.split()
     if not words or unit in ("1", "%"):
         return ""
     if len(words) > 1:
-        # Of processor time, and of its share, the core is named last.
+        # Processor time and processor share name the core last, as in "us of a core".
         if words[0] == "core":
             return " ".join([*words[1:], "of a core"])
         if words[0] == "%":
@@ -215,15 +215,15 @@
 
 
 def format_quantity(quantity: Quantity, unit: str) -> str:
-    """Return a quantity in the unit in which a page shows it.
+    """Return a quantity as the page shows it, in a given unit.
 
     Raises:
-        UnitError: The unit measures something else.
+        UnitError: The unit has another dimension.
     """
     head, *below = unit.split("/")
     number = format_number(quantity.to(unit))
     words = _unit_words(head, number == "1")
-    # What is told of a second is a rate; what is told of a counted thing belongs to each of them.
+    # A time in the denominator is shown as a rate ("/s"), a counted unit as an owner ("a broker").
     rate = "".join(f"/{word}" for word in below if word not in COUNTED_UNITS)
     owners = "".join(f" {_article(word)} {word}" for word in below if word in COUNTED_UNITS)
     percent = "%" if head.startswith("%") else ""
