--- a/tests/capacity/documents.py
+++ b/tests/capacity/documents.py
@@ -1,4 +1,4 @@
-"""Documents of measurements, with figures made up for the tests."""
+"""Helpers of the capacity tests: documents of measurements with made-up figures."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
 POINTS = (1_000, 10.0), (8_000, 80.0), (32_000, 320.0)
 
 
-def measurement_document(name="made-up", unit="us", by="engines listed", points=POINTS, **more):
-    """A measurement's document, of figures made up for the tests."""
+def measurement_document(
+    name="made-up", unit="us", by="engines listed", points=POINTS, **overrides
+):
+    """Return a measurement's document with made-up figures."""
     fit = fit_line(points) if len(points) > 1 else None
     return {
         "v": 1,
@@ -38,7 +40,7 @@
             "residuals": fit.residuals,
             "linear_to": fit.linear_to,
         },
-    } | more
+    } | overrides
 
 
 def read_all(*documents, suffix=""):
--- a/tests/capacity/test_line_fit.py
+++ b/tests/capacity/test_line_fit.py
@@ -1,4 +1,8 @@
-"""The line through measured points, and where it bends."""
+"""The line through measured points, and the size at which the points leave it.
+
+Guards against costs that are extrapolated along a straight line although they rise faster, or stop
+rising, above some measured size.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 SIZES = (60, 1_000, 4_000, 8_000, 16_000, 32_000)
 
 
-def test_fit_line_gives_back_a_line_and_no_bend():
+def test_fit_line_recovers_an_exact_line_without_a_bend():
     found = fit_line([(x, 3 + 0.25 * x) for x in SIZES])
     assert found.base == pytest.approx(3)
     assert found.slope == pytest.approx(0.25)
@@ -18,7 +22,7 @@
     assert found.at(64_000) == pytest.approx(16_003)
 
 
-def test_fit_line_is_the_least_squares_line_of_points_beside_it():
+def test_fit_line_returns_the_least_squares_line_of_scattered_points():
     found = fit_line([(0, 1.0), (1, 1.0), (2, 4.0)])  # by hand: slope 3/2, base 1/2
     assert (found.base, found.slope) == pytest.approx((0.5, 1.5))
     assert found.residuals == pytest.approx([0.5 / 1.0, -1.0 / 2.0, 0.5 / 4.0])
@@ -30,23 +34,23 @@
     assert found.linear_to == last
 
 
-def test_fit_line_bends_for_a_square_and_not_for_a_flat_cost():
+def test_fit_line_finds_a_bend_in_a_square_and_none_in_a_constant_cost():
     assert fit_line([(x, 5.0 + x * x) for x in SIZES]).linear_to == 1_000
     assert fit_line([(x, 90.0) for x in SIZES]).linear_to == 32_000
     assert fit_line([(x, 0.0) for x in SIZES]).residuals == [0.0] * 6
 
 
-def test_fit_line_bends_where_a_cost_levels_off():
+def test_fit_line_finds_the_bend_where_a_cost_levels_off():
     assert fit_line([(x, min(x, 8_000)) for x in SIZES]).linear_to == 8_000
 
 
-def test_fit_line_takes_differences_within_the_tolerance_as_noise():
+def test_fit_line_ignores_differences_within_the_tolerance():
     points = [
         (1, 1.0),
         (2, 2.0),
         (3, 3.3),
         (4, 4.4),
-    ]  # the third lies 9.1% above the line of the first two
+    ]  # the third lies 9.1% above the line through the first two
     assert fit_line(points, 0.10).linear_to == 4
     assert fit_line(points, 0.08).linear_to == 2
 
--- a/tests/capacity/test_measured_costs.py
+++ b/tests/capacity/test_measured_costs.py
@@ -1,4 +1,8 @@
-"""Costs at the planned size, and the budgets they keep or pass."""
+"""Costs at the planned size, and whether they meet their budgets.
+
+Guards against figures that look better known than they are: extrapolated ones shown as measured,
+ones read in the wrong unit, and a size that was never reached counted as within its budget.
+"""
 
 from __future__ import annotations
 
@@ -18,13 +22,13 @@
 from umberusher.commands import capacity
 
 
-def test_interpolate_says_whether_a_figure_ran_is_summed_or_extrapolated():
+def test_interpolate_reports_how_a_figure_was_obtained():
     straight = read_measurement(measurement_document(), "made-up")
     assert interpolate(straight, 8_000) == (80.0, Basis.MEASURED)
     assert interpolate(straight, 8_010)[1] is Basis.MEASURED
     assert interpolate(straight, 4_000) == (pytest.approx(40.0), Basis.CALCULATED)
     assert interpolate(straight, 64_000) == (pytest.approx(640.0), Basis.EXTRAPOLATED)
-    assert interpolate(straight, 10) == (10.0, Basis.EXTRAPOLATED)  # never under the nearest point
+    assert interpolate(straight, 10) == (10.0, Basis.EXTRAPOLATED)  # never below the nearest point
     falling = read_measurement(
         measurement_document(points=((1, 9.0), (2, 8.0), (3, 7.0))), "made-up"
     )
@@ -41,75 +45,81 @@
     assert interpolate(bent, 6) == (
         pytest.approx(52.0),
         Basis.CALCULATED,
-    )  # between its neighbours, not on a line that bends there
+    )  # between its neighbours, since the points bend there
     assert interpolate(bent, 3) == (
         pytest.approx(3.0),
         Basis.CALCULATED,
-    )  # nor on a line of all points, which runs below 0 there
+    )  # also here, since the line through all points is below 0
     assert interpolate(bent, 32) == (
         pytest.approx(700.0),
         Basis.EXTRAPOLATED,
-    )  # on along the two last points
-    one = read_measurement(measurement_document(points=((7, 3.0),)), "made-up")
-    assert interpolate(one, 7) == (3.0, Basis.MEASURED)
+    )  # on the line through the last two points
+    single_point = read_measurement(measurement_document(points=((7, 3.0),)), "made-up")
+    assert interpolate(single_point, 7) == (3.0, Basis.MEASURED)
     with pytest.raises(UnitError, match="measured at 7 engines listed alone, not at 8"):
-        interpolate(one, 8)
+        interpolate(single_point, 8)
 
 
-def test_estimate_is_as_sure_as_its_least_sure_part():
-    sums = MeasuredCosts(
+def test_estimate_is_as_certain_as_its_least_certain_operand():
+    measured_costs = MeasuredCosts(
         capacity.load_plan(str(PLAN)), capacity.PROGRAM, read_all(measurement_document())
     )
-    each = sums.cost(
+    cost = measured_costs.cost(
         MeasurementSource("made-up", "engines listed", "us", "core us/change/broker"),
-        sums.plan.engines,
+        measured_costs.plan.engines,
     )
-    assert each.basis is Basis.MEASURED
-    assert each.sources == ("made-up",)
-    rate = each * sums.plan.changes
+    assert cost.basis is Basis.MEASURED
+    assert cost.sources == ("made-up",)
+    rate = cost * measured_costs.plan.changes
     assert rate.basis is Basis.CALCULATED
     assert rate.value.to("% core/broker") == pytest.approx(320e-6 * 49e5 / 86_400)
-    assert (rate * sums.plan.brokers).basis is Basis.EXTRAPOLATED
-    absent = sums.cost(
+    assert (rate * measured_costs.plan.brokers).basis is Basis.EXTRAPOLATED
+    absent = measured_costs.cost(
         MeasurementSource("other", "engines listed", "us", "core us/change/broker"),
-        sums.plan.engines,
+        measured_costs.plan.engines,
     )
-    both = each + absent
-    assert both.value is None
-    assert both.absent == ("other",)
+    combined = cost + absent
+    assert combined.value is None
+    assert combined.absent == ("other",)
     with pytest.raises(UnitError):
-        _ = each + rate
-    assert (Estimate(sums.plan.brokers) * sums.plan.engines).basis is Basis.PLANNED
+        _ = cost + rate
+    assert (
+        Estimate(measured_costs.plan.brokers) * measured_costs.plan.engines
+    ).basis is Basis.PLANNED
 
 
-def test_cost_reads_the_newest_version_when_the_program_of_now_was_not_measured():
+def test_cost_reads_the_newest_version_when_the_current_one_was_not_measured():
     older, newer = (
         measurement_document(points=((32_000, 1.0),), at=f"2026-12-02T0{hour}:00:00Z")
         for hour in (4, 5)
     )
-    first = measurement_document(points=((32_000, 9.0),), at="2026-12-02T06:00:00Z")
-    kept = (
+    earlier = measurement_document(points=((32_000, 9.0),), at="2026-12-02T06:00:00Z")
+    stored = (
         read_all(older, suffix=".1234567")
         | read_all(newer, suffix=".abcdef0")
-        | read_all(first, suffix=EARLIER_VERSION)
+        | read_all(earlier, suffix=EARLIER_VERSION)
     )
-    reading = MeasurementSource("made-up", "engines listed", "us", "core us")
+    source = MeasurementSource("made-up", "engines listed", "us", "core us")
 
-    def source(measured):
+    def sources_read(measurements):
         return (
-            MeasuredCosts(capacity.load_plan(str(PLAN)), {}, measured).cost(reading, 32_000).sources
+            MeasuredCosts(capacity.load_plan(str(PLAN)), {}, measurements)
+            .cost(source, 32_000)
+            .sources
         )
 
-    assert source(kept) == ("made-up.abcdef0",)
-    assert source(kept | read_all(measurement_document())) == ("made-up",)
-    assert source(read_all(first, suffix=EARLIER_VERSION)) == ()
+    assert sources_read(stored) == ("made-up.abcdef0",)
+    assert sources_read(stored | read_all(measurement_document())) == ("made-up",)
+    assert sources_read(read_all(earlier, suffix=EARLIER_VERSION)) == ()
 
 
-def test_budget_is_passed_when_a_size_was_never_reached():
+def test_budget_is_exceeded_when_a_size_was_never_reached():
     document = measurement_document(
-        "broker-control-cpu", "% of a core", unreached=[{"x": 64_000, "why": "asks in a circle"}]
+        "broker-control-cpu", "% of a core", unreached=[{"x": 64_000, "why": "polls in a loop"}]
+    )
+    measured_costs = MeasuredCosts(
+        capacity.load_plan(str(PLAN)), capacity.PROGRAM, read_all(document)
     )
-    sums = MeasuredCosts(capacity.load_plan(str(PLAN)), capacity.PROGRAM, read_all(document))
     role = Role(
         "broker",
         "broker",
@@ -130,9 +140,9 @@
             ),
         ),
     )
-    (line,) = evaluate([role], sums, EARLIER_VERSION)
-    assert line.verdict == Verdict.EXCEEDED
-    assert line.format_estimate(line.current_estimate) == "not reached: asks in a circle"
+    (row,) = evaluate([role], measured_costs, EARLIER_VERSION)
+    assert row.verdict == Verdict.EXCEEDED
+    assert row.format_estimate(row.current_estimate) == "not reached: polls in a loop"
 
 
 @pytest.mark.parametrize(
@@ -142,21 +152,22 @@
         ("us", "brokers", "made-up: by: is 'brokers', 'engines listed' is read here"),
     ],
 )
-def test_cost_raises_when_a_measurement_is_in_another_unit(unit, by, message):
-    sums = MeasuredCosts(
+def test_cost_raises_when_a_measurement_has_another_unit_or_size_label(unit, by, message):
+    measured_costs = MeasuredCosts(
         capacity.load_plan(str(PLAN)),
         capacity.PROGRAM,
         read_all(measurement_document(unit=unit, by=by)),
     )
     with pytest.raises(UnitError) as caught:
-        sums.cost(
-            MeasurementSource("made-up", "engines listed", "us", "core us"), sums.plan.engines
+        measured_costs.cost(
+            MeasurementSource("made-up", "engines listed", "us", "core us"),
+            measured_costs.plan.engines,
         )
     assert str(caught.value) == message
 
 
 def test_evaluate_names_the_row_when_its_formula_gives_another_unit():
-    sums = MeasuredCosts(capacity.load_plan(str(PLAN)), capacity.PROGRAM, {})
+    measured_costs = MeasuredCosts(capacity.load_plan(str(PLAN)), capacity.PROGRAM, {})
     role = Role(
         "r",
         "role",
@@ -171,4 +182,4 @@
         ),
     )
     with pytest.raises(UnitError, match="role, ordinary: brokers: expected 'engine', got 'broker'"):
-        evaluate([role], sums, EARLIER_VERSION)
+        evaluate([role], measured_costs, EARLIER_VERSION)
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -1,4 +1,8 @@
-"""The capacity page: a check that fails for each thing that can be wrong."""
+"""The capacity page: what ``capacity show`` writes, and what ``capacity check`` rejects.
+
+Guards against a page that states figures which the committed measurements and the plan don't give:
+edited by hand, left behind by a changed measurement, or silent about an exceeded budget.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 from umberusher.commands import capacity
 
 COST = MeasurementSource("made-up", "engines listed", "us", "core us/statement/broker")
-TRIAL_ROLES = (
+TEST_ROLES = (
     Role(
         "one",
         "first role",
@@ -58,9 +62,9 @@
 
 
 @pytest.fixture
-def trial(tmp_path, monkeypatch):
-    """A page of made-up measurements with a budget that is passed, and a way to run commands on it."""
-    monkeypatch.setattr(capacity, "ROLES", TRIAL_ROLES)
+def page(tmp_path, monkeypatch):
+    """Return a page of made-up measurements with an exceeded budget, and the commands to run on it."""
+    monkeypatch.setattr(capacity, "ROLES", TEST_ROLES)
     (tmp_path / "measurements").mkdir()
     (tmp_path / "page.md").write_text(
         PROSE
@@ -70,14 +74,14 @@
         )
     )
 
-    class TrialPage:
+    class PageUnderTest:
         path = tmp_path / "page.md"
         file = tmp_path / "measurements/made-up.json"
 
-        def keep(self, document):
+        def store(self, document):
             self.file.write_text(json.dumps(document))
 
-        def show(self, *more):
+        def show(self, *arguments):
             return cli.main(
                 [
                     "capacity",
@@ -86,7 +90,7 @@
                     str(PLAN),
                     "--measurements",
                     str(self.file.parent),
-                    *more,
+                    *arguments,
                 ]
             )
 
@@ -109,26 +113,26 @@
             assert old in text, text
             self.path.write_text(text.replace(old, new, 1))
 
-    found = TrialPage()
-    found.keep(measurement_document())
+    found = PageUnderTest()
+    found.store(measurement_document())
     assert found.show("--write", str(found.path)) == 0
     return found
 
 
-def test_check_passes_a_written_page_and_names_the_passed_budget(trial, capsys):
-    assert trial.check() == 0
+def test_check_accepts_a_written_page_and_prints_the_exceeded_budget(page, capsys):
+    assert page.check() == 0
     out = capsys.readouterr().out.splitlines()
     assert out[0] == (
         "passed: first role, ordinary: all statements: 1.98 cores a broker, budget 1 core a broker; "
         "missing: a second loop"
     )
     assert out[-1] == "3 lines, 1 measurements; budgets: 0 held, 1 passed, 0 not measured; 0 faults"
-    text = trial.path.read_text()
+    text = page.path.read_text()
     assert text.startswith(PROSE)
     assert "| 1.98 cores a broker | 1 core a broker | **passed** |" in text
     assert "| not measured | - | - | not measured | not measured | no `other` | a thing |" in text
-    assert trial.show("--write", str(trial.path)) == 0
-    assert trial.path.read_text() == text
+    assert page.show("--write", str(page.path)) == 0
+    assert page.path.read_text() == text
 
 
 def refit(document):
@@ -176,9 +180,9 @@
         ),
     ],
 )
-def test_check_fails_when_a_page_is_edited_by_hand(trial, capsys, old, new, message):
-    trial.edit(old, new)
-    assert trial.check() == 1
+def test_check_fails_when_a_page_is_edited_by_hand(page, capsys, old, new, message):
+    page.edit(old, new)
+    assert page.check() == 1
     assert message in capsys.readouterr().out
 
 
@@ -209,35 +213,35 @@
         (lambda document: document.update(commit="9" * 40), "block 'one' has"),
     ],
 )
-def test_check_fails_when_a_measurement_is_changed(trial, capsys, change, message):
-    document = copy.deepcopy(json.loads(trial.file.read_text()))
+def test_check_fails_when_a_measurement_is_changed(page, capsys, change, message):
+    document = copy.deepcopy(json.loads(page.file.read_text()))
     change(document)
-    trial.keep(document)
-    assert trial.check() == 1
+    page.store(document)
+    assert page.check() == 1
     assert message in capsys.readouterr().out
 
 
-def test_check_fails_when_a_measurement_is_gone_or_can_not_be_read(trial, capsys):
-    trial.file.rename(trial.file.with_name("made-up.gone"))
-    assert trial.check() == 1
+def test_check_fails_when_a_measurement_is_missing_or_unreadable(page, capsys):
+    page.file.rename(page.file.with_name("made-up.gone"))
+    assert page.check() == 1
     assert "the page quotes 'made-up', and there is no such measurement" in capsys.readouterr().out
-    trial.file.write_text("{")
-    assert trial.check() == 1
-    assert f"wrong: {trial.file}: " in capsys.readouterr().out
-    assert trial.show("--write", str(trial.path)) == 2
+    page.file.write_text("{")
+    assert page.check() == 1
+    assert f"wrong: {page.file}: " in capsys.readouterr().out
+    assert page.show("--write", str(page.path)) == 2
 
 
-def test_check_ends_when_a_measurement_is_in_a_wrong_unit(trial, capsys):
-    trial.keep(measurement_document(unit="ms"))
-    assert trial.check() == 2
+def test_check_exits_with_2_when_a_measurement_has_a_wrong_unit(page, capsys):
+    page.store(measurement_document(unit="ms"))
+    assert page.check() == 2
     assert (
         "first role, ordinary: a statement: made-up: unit: is 'ms', 'us' is read here"
         in capsys.readouterr().err
     )
 
 
-def test_check_fails_when_a_passed_budget_names_no_missing_mechanism(trial, monkeypatch, capsys):
-    definition = TRIAL_ROLES[0].rows[1]
+def test_check_fails_when_an_exceeded_budget_names_no_missing_mechanism(page, monkeypatch, capsys):
+    definition = TEST_ROLES[0].rows[1]
     monkeypatch.setattr(
         capacity,
         "ROLES",
@@ -249,27 +253,27 @@
             ),
         ),
     )
-    assert trial.show("--write", str(trial.path)) == 0
-    assert trial.check() == 1
+    assert page.show("--write", str(page.path)) == 0
+    assert page.check() == 1
     assert "wrong: " in (out := capsys.readouterr().out)
     assert "no missing mechanism is told: first role, ordinary: all statements" in out
 
 
-def test_show_prints_one_table_and_names_the_others(trial, capsys):
-    assert trial.show("--role", "one") == 0
+def test_show_prints_one_table_or_lists_the_known_names(page, capsys):
+    assert page.show("--role", "one") == 0
     assert capsys.readouterr().out.startswith("one\n\n| part | moment | what |")
-    assert trial.show("--role", "two") == 2
+    assert page.show("--role", "two") == 2
     assert (
         "there is no 'two'; there are counts, measurements, one, passed, plan"
         in capsys.readouterr().err
     )
 
 
-def test_show_puts_figures_of_the_earlier_version_beside_those_of_now(trial):
+def test_show_writes_figures_of_the_earlier_version_beside_current_ones(page):
     old = measurement_document(
         points=((1_000, 20.0), (8_000, 160.0), (32_000, 640.0)), commit="70bc7e5" + "0" * 33
     )
-    (trial.file.parent / f"made-up{EARLIER_VERSION}.json").write_text(json.dumps(old))
-    assert trial.show("--write", str(trial.path)) == 0
-    assert trial.check() == 0
-    assert "| 3.96 cores a broker, **passed** | `made-up` @ 01234567 |" in trial.path.read_text()
+    (page.file.parent / f"made-up{EARLIER_VERSION}.json").write_text(json.dumps(old))
+    assert page.show("--write", str(page.path)) == 0
+    assert page.check() == 0
+    assert "| 3.96 cores a broker, **passed** | `made-up` @ 01234567 |" in page.path.read_text()
--- a/tests/capacity/test_plan.py
+++ b/tests/capacity/test_plan.py
@@ -1,4 +1,8 @@
-"""The numbers to plan with."""
+"""The numbers to plan with.
+
+Guards against a plan with a missing, misspelt or wrong field, such as one in another unit, from which
+wrong budgets would follow.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 from umberusher.commands import capacity
 
 
-def test_load_plan_has_all_fields_and_the_reasons_of_assumed_ones():
+def test_load_plan_returns_all_fields_and_the_reasons_of_assumed_ones():
     found = capacity.load_plan(str(PLAN))
     assert found.engines.to("engine") == 32_000
     assert found.control_processor.to("% core/broker") == pytest.approx(1.3)
@@ -59,9 +63,7 @@
         ),
     ],
 )
-def test_show_names_file_line_and_field_when_a_plan_can_not_be_used(
-    tmp_path, old, new, message, capsys
-):
+def test_show_names_file_line_and_field_when_a_plan_is_invalid(tmp_path, old, new, message, capsys):
     text = PLAN.read_text()
     assert text.count(old) == 1
     (tmp_path / "size.star").write_text(text.replace(old, new))
@@ -70,4 +72,4 @@
     assert any(message in each for each in errors), errors
     assert (
         len(errors) <= 2
-    )  # a misspelt field is one line, and the one that is missing for it another
+    )  # a misspelt field causes one line, and the field that is then missing another
--- a/tests/capacity/test_roles.py
+++ b/tests/capacity/test_roles.py
@@ -1,4 +1,9 @@
-"""The roles of the project's own capacity page."""
+"""The roles of the project's own capacity page.
+
+Guards against a role without a block on the page, a budget without a mechanism, and a formula that
+reads no measurement or returns a wrong unit, which shows only once all measurements exist. A broker
+that serves must not load these modules.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +22,11 @@
 
 
 def test_page_has_a_block_for_each_role_and_each_row_names_its_mechanism():
-    kept = capacity.load_measurements(str(ROOT / "measurements"))
+    stored = capacity.load_measurements(str(ROOT / "measurements"))
     plan = capacity.load_plan(str(PLAN))
-    assert not kept.faults
+    assert not stored.faults
     constants = capacity.program_constants(plan)
-    costs = MeasuredCosts(plan, constants, kept.measurements, kept.records)
+    costs = MeasuredCosts(plan, constants, stored.measurements, stored.records)
     tables, rows = make_tables(ROLES, costs, EARLIER_VERSION)
     blocks = read_blocks((ROOT / "docs/CAPACITY.md").read_text())
     assert {block.name for block in blocks} == set(tables)
@@ -34,27 +39,32 @@
         assert resources <= {"state", "messages", "processor", "memory", "time"}
 
 
-def test_formulas_give_their_rows_units_when_all_is_measured():
-    class AllPlayed(MeasuredCosts):
+def test_formulas_return_the_units_of_their_rows_when_all_is_measured():
+    class AllScenesMeasured(MeasuredCosts):
         def scene_figure(self, source):
             return Estimate(Quantity.of(1.0, source.unit), Basis.SIMULATED, (source.name,))
 
-    read = [each for each in vars(sources).values() if isinstance(each, MeasurementSource)]
-    assert read
+    measurement_sources = [
+        each for each in vars(sources).values() if isinstance(each, MeasurementSource)
+    ]
+    assert measurement_sources
     points = ((1, 5.0), (100, 90.0), (32_000, 700.0))
     documents = read_all(
-        *(measurement_document(each.name, each.raw_unit, each.size_label, points) for each in read)
+        *(
+            measurement_document(each.name, each.raw_unit, each.size_label, points)
+            for each in measurement_sources
+        )
     )
     plan = capacity.load_plan(str(PLAN))
-    costs = AllPlayed(plan, capacity.program_constants(plan), documents)
+    costs = AllScenesMeasured(plan, capacity.program_constants(plan), documents)
     rows = evaluate(ROLES, costs, EARLIER_VERSION)
     assert all(row.current_estimate.value is not None for row in rows)
     assert {key for row in rows for key in row.current_estimate.sources} >= {
-        each.name for each in read
+        each.name for each in measurement_sources
     }
 
 
-def test_serve_imports_nothing_of_capacity():
+def test_serve_imports_no_module_of_capacity():
     code = (
         "import sys, umberusher.cli, umberusher.commands.serve; "
         "print([name for name in sys.modules if 'capacity' in name or 'starlark' in name])"
--- a/tests/capacity/test_scale_records.py
+++ b/tests/capacity/test_scale_records.py
@@ -1,4 +1,8 @@
-"""Records of scale runs and of watched brokers."""
+"""Records of scale runs and of observed real brokers.
+
+Guards against figures that were edited after the run, that belong to a smaller fleet, or that hide a
+round in which a broker failed.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +17,13 @@
 from umberusher.scale.figures import digest
 
 
-def scale_document(figures, brokers=2_100, engines=32_000, **more):
-    """A scale run's record, of figures made up for the tests."""
+def scale_document(figures, brokers=2_100, engines=32_000, **overrides):
+    """Return a scale run's record with made-up figures."""
     scenes = {}
     for name, each in figures.items():
-        scene, _, what = name.partition(": ")
+        scene, _, figure_name = name.partition(": ")
         if scene != "real":
-            scenes.setdefault(scene, {})[what] = each
+            scenes.setdefault(scene, {})[figure_name] = each
     return (
         measurement_document(
             "scale-made-up",
@@ -30,11 +34,11 @@
             digest=digest(scenes),
             size={"brokers": brokers, "engines": engines},
         )
-        | more
+        | overrides
     )
 
 
-SLOWEST = {
+FIGURES = {
     "zone_lost: in force: largest": {"value": 3.0, "unit": "s"},
     "real: in force": {"value": 2.0, "unit": "s"},
 }
@@ -48,47 +52,47 @@
             plan, {}, {}, {"scale-made-up": read_scale_record(document, "x.json")}
         ).scene_figure(SceneSource("scale-made-up", figure, unit, "s"))
 
-    found = scene_figure(scale_document(SLOWEST), "zone_lost: in force: largest")
+    found = scene_figure(scale_document(FIGURES), "zone_lost: in force: largest")
     assert found.value.to("s") == 3.0
     assert found.basis is Basis.SIMULATED
     assert found.sources == ("scale-made-up",)
-    assert scene_figure(scale_document(SLOWEST), "real: in force").basis is Basis.MEASURED
-    assert scene_figure(scale_document(SLOWEST), "lumps: in force").absent == (
+    assert scene_figure(scale_document(FIGURES), "real: in force").basis is Basis.MEASURED
+    assert scene_figure(scale_document(FIGURES), "lumps: in force").absent == (
         "scale-made-up: lumps: in force",
     )
-    assert scene_figure(scale_document(SLOWEST, brokers=200), "real: in force").absent == (
+    assert scene_figure(scale_document(FIGURES, brokers=200), "real: in force").absent == (
         "scale-made-up at the size",
     )
-    assert scene_figure(scale_document(SLOWEST, engines=60), "real: in force").value is None
+    assert scene_figure(scale_document(FIGURES, engines=60), "real: in force").value is None
     with pytest.raises(UnitError, match="is in 's', 'ms' is read here"):
-        scene_figure(scale_document(SLOWEST), "real: in force", "ms")
+        scene_figure(scale_document(FIGURES), "real: in force", "ms")
 
 
 @pytest.mark.parametrize(
-    "more, message",
+    "overrides, message",
     [
         (
-            {"figures": SLOWEST | {"zone_lost: in force: largest": {"value": 2.0, "unit": "s"}}},
+            {"figures": FIGURES | {"zone_lost: in force: largest": {"value": 2.0, "unit": "s"}}},
             "x.json: digest: is ",
         ),
         (
-            {"figures": SLOWEST | {"real: in force": {"value": "2", "unit": "s"}}},
+            {"figures": FIGURES | {"real: in force": {"value": "2", "unit": "s"}}},
             "figures: 'real: in force' must be a",
         ),
         (
-            {"figures": SLOWEST | {"real: in force": 2.0}},
+            {"figures": FIGURES | {"real: in force": 2.0}},
             "figures: 'real: in force' must be a number with its unit",
         ),
         ({"figures": []}, "x.json: figures: must stand beside"),
         ({"size": {"brokers": 2}}, "x.json: size: must name"),
     ],
 )
-def test_read_scale_record_raises_when_a_record_was_changed(more, message):
+def test_read_scale_record_raises_when_a_record_was_edited_or_is_malformed(overrides, message):
     with pytest.raises(ValueError, match=message):
-        read_scale_record(scale_document(SLOWEST) | more, "x.json")
+        read_scale_record(scale_document(FIGURES) | overrides, "x.json")
 
 
-def test_read_watched_brokers_gives_each_version_and_why_a_round_has_no_figures():
+def test_read_watched_brokers_returns_each_version_or_why_a_round_has_no_figures():
     found = read_watched_brokers(
         {
             "plays": [
--- a/tests/capacity/test_units.py
+++ b/tests/capacity/test_units.py
@@ -1,4 +1,8 @@
-"""Quantities with units."""
+"""Quantities with units.
+
+Guards against figures that mix units: a cost of one broker taken for one of all, or seconds for bytes,
+must raise instead of giving a number.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,7 @@
                 wrong()
 
 
-def test_quantity_keeps_counted_things_as_units():
+def test_quantity_treats_counted_things_as_units():
     each = Quantity.of(150, "core us/change/broker") * Quantity.of(49_000, "change/day")
     assert each.to("% core/broker") == pytest.approx(150e-6 * 49_000 / 86_400 * 100)
     with pytest.raises(UnitError, match="expected '% core', got 'core/broker'"):
@@ -87,7 +91,7 @@
     assert format_number(value) == message
 
 
-def test_counted_units_differ_from_each_other_and_from_the_base_units():
+def test_counted_units_are_distinct_and_differ_from_base_units():
     assert len(set(COUNTED_UNITS)) == len(COUNTED_UNITS)
     assert not set(COUNTED_UNITS) & {
         "s",
