--- a/umberusher/capacity/budget_rows.py
+++ b/umberusher/capacity/budget_rows.py
@@ -1,4 +1,4 @@
-"""The rows of the capacity page: what each role needs, its budget, and whether it is kept."""
+"""The rows of the capacity page: what each role needs, its budget, and whether it is met."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class Verdict(StrEnum):
-    """Whether a budget is kept; the value is its word on the page."""
+    """Whether a budget is met; the value is the text on the page."""
 
-    HELD = "held"
-    PASSED = "passed"
+    MET = "held"
+    EXCEEDED = "passed"
     UNKNOWN = NOT_MEASURED
     UNBOUNDED = NO_BUDGET
 
 
 class Resource(StrEnum):
-    """What a row is a need of; the value is its word on the page."""
+    """The resource that a row is about; the value is the text on the page."""
 
     STATE = "state"
     MESSAGES = "messages"
@@ -36,7 +36,7 @@
 
 
 class Moment(StrEnum):
-    """When a row holds; the value is its words on the page."""
+    """The situation that a row describes; the value is the text on the page."""
 
     ORDINARY = "ordinary"
     RACK_LOST = "a rack"
@@ -55,15 +55,15 @@
     """One need of a role.
 
     Attributes:
-        resource: What is needed.
-        moment: When.
-        description: What it is, in words.
-        unit: The unit in which it and its budget are shown.
-        formula: Returns the figure.
-        budget: A field of the plan or a constant of the program; empty if nothing bounds it.
-        mechanism: What carries it.
-        missing_mechanism: What does not exist, told where the budget is passed or nothing
-            carries it.
+        resource: The resource that is needed.
+        moment: The situation in which it is needed.
+        description: What is needed, in words.
+        unit: The unit in which the figure and its budget are shown.
+        formula: Computes the figure from the costs.
+        budget: The name of a plan field or program constant; empty if the figure has no limit.
+        mechanism: The mechanism of the program that provides for the need.
+        missing_mechanism: The mechanism that the program lacks; shown if the budget is exceeded
+            or ``mechanism`` is empty.
     """
 
     resource: Resource
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Role:
-    """One part of the whole.
+    """One role of the system, such as broker or engine.
 
     Attributes:
         name: The name of its block on the page.
@@ -93,23 +93,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """A row, evaluated and judged.
+    """A row with its figures, compared to its budget.
 
     Attributes:
         role: Its role.
-        definition: What it is.
-        now: Its figure of the program of now.
-        budget: Its bound.
-        verdict: Whether the bound is kept.
-        before: Its figure of the earlier version.
+        definition: Its definition.
+        current_estimate: Its figure, from measurements of the current version.
+        budget: The limit of its figure; None if it has none.
+        verdict: Whether the current figure meets the budget.
+        earlier_estimate: Its figure, from measurements of the earlier version.
     """
 
     role: Role
     definition: RowDefinition
-    now: Estimate
+    current_estimate: Estimate
     budget: Quantity | None
     verdict: Verdict
-    before: Estimate
+    earlier_estimate: Estimate
 
     def format_estimate(self, estimate: Estimate) -> str:
         """Return a figure as the page shows it."""
@@ -126,30 +126,30 @@
         return format_quantity(self.budget, self.definition.unit)
 
     def name(self) -> str:
-        """Return which row it is, in words."""
+        """Return the role, moment and description that identify the row."""
         definition = self.definition
         return f"{self.role.title}, {definition.moment}: {definition.description}"
 
     def mechanism(self) -> str:
-        """Return what carries the row, or what is missing."""
+        """Return the mechanism that provides for the row, or the missing one."""
         definition = self.definition
-        if self.verdict != Verdict.PASSED and definition.mechanism:
+        if self.verdict != Verdict.EXCEEDED and definition.mechanism:
             return definition.mechanism
         if definition.missing_mechanism:
             return f"missing: {definition.missing_mechanism}"
         return "missing"
 
 
-def judge(estimate: Estimate, budget: Quantity | None) -> Verdict:
-    """Return whether a figure keeps its budget.
+def compare_to_budget(estimate: Estimate, budget: Quantity | None) -> Verdict:
+    """Return whether a figure meets its budget.
 
-    One that was not reached when it was measured passes it.
+    A size that the measurement did not reach counts as an exceeded budget.
     """
     if budget is None:
         return Verdict.UNBOUNDED
     if estimate.value is None:
-        return Verdict.PASSED if estimate.unreached_reason else Verdict.UNKNOWN
-    return Verdict.HELD if estimate.value <= budget else Verdict.PASSED
+        return Verdict.EXCEEDED if estimate.unreached_reason else Verdict.UNKNOWN
+    return Verdict.MET if estimate.value <= budget else Verdict.EXCEEDED
 
 
 def evaluate(roles: Iterable[Role], costs: MeasuredCosts, earlier_version: str) -> list[Row]:
@@ -158,10 +158,10 @@
     Args:
         roles: The roles.
         costs: The costs at the planned size.
-        earlier_version: The suffix of the measurements to compare with.
+        earlier_version: The key suffix of the measurements to compare with.
 
     Raises:
-        UnitError: A row's formula gives a wrong unit; it names the row.
+        UnitError: A row's formula returns a wrong unit; the message names the row.
     """
     earlier_costs = costs.of_version(earlier_version)
     rows = []
@@ -178,16 +178,23 @@
 def _evaluate_row(
     role: Role, definition: RowDefinition, costs: MeasuredCosts, earlier_costs: MeasuredCosts
 ) -> Row:
-    now = definition.formula(costs)
-    before = definition.formula(earlier_costs)
-    budget = costs.bound(definition.budget)
-    for quantity in (now.value, before.value, budget):
+    current_estimate = definition.formula(costs)
+    earlier_estimate = definition.formula(earlier_costs)
+    budget = costs.budget(definition.budget)
+    for quantity in (current_estimate.value, earlier_estimate.value, budget):
         if quantity is not None:
-            # Raises where the unit is another.
+            # Raises UnitError if the quantity has another dimension.
             quantity.to(definition.unit)
-    return Row(role, definition, now, budget, judge(now, budget), before)
-
-
-def passed_rows(rows: Iterable[Row]) -> list[Row]:
-    """Return the rows whose budget is passed."""
-    return [row for row in rows if row.verdict == Verdict.PASSED]
+    return Row(
+        role,
+        definition,
+        current_estimate,
+        budget,
+        compare_to_budget(current_estimate, budget),
+        earlier_estimate,
+    )
+
+
+def exceeded_rows(rows: Iterable[Row]) -> list[Row]:
+    """Return the rows whose budget is exceeded."""
+    return [row for row in rows if row.verdict == Verdict.EXCEEDED]
--- a/umberusher/capacity/measurement.py
+++ b/umberusher/capacity/measurement.py
@@ -1,7 +1,7 @@
-"""Measurements as they are kept in `measurements/`: their form and its checks.
+"""Measurements as stored in `measurements/`: their format and its checks.
 
-No I/O: a file is parsed elsewhere. The kept fit is compared with the points, so that a point that
-was changed by hand shows.
+No I/O: files are parsed elsewhere. The stored fit is compared with the points, which reveals points
+that were edited by hand.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 FORMAT_VERSION = 1
 ROLES = ("broker", "discovery", "engine", "client connection", "tools")
-# Of the machine, of a scale run, or no time is in the figure: bytes, messages.
+# Clock of the machine, clock of a scale run, or none: counts such as bytes and messages.
 CLOCKS = ("wall", "step", "counted")
-# Relative: a kept fit is rounded to six digits.
+# Relative: a stored fit is rounded to six digits.
 FIT_TOLERANCE = 1e-3
 NAME_PATTERN = re.compile(r"[a-z0-9]+(-[a-z0-9]+)*")
 COMMIT_PATTERN = re.compile(r"[0-9a-f]{40}")
@@ -27,14 +27,14 @@
 
 
 class MeasuredPoint(NamedTuple):
-    """A size, and what was measured there, one value a round."""
+    """A size, and the values measured there, one per round."""
 
     x: float
     values: list[float]
 
 
 class UnreachedPoint(NamedTuple):
-    """A size at which no value was got, and why."""
+    """A size at which the measurement did not succeed, and why."""
 
     x: float
     reason: str
@@ -42,29 +42,29 @@
 
 @dataclass(slots=True)
 class Measurement:
-    """One thing measured at one size or more, with what is needed to measure it again.
+    """One cost measured at one or more sizes, with what is needed to repeat the measurement.
 
     Attributes:
         name: Lower-case words joined by ``-``.
-        role: The role whose cost it is.
-        what: What was measured.
-        by: What the sizes count.
+        role: The role that has the cost.
+        description: What was measured.
+        size_label: What the sizes count.
         unit: The unit of the values.
-        command: The command that measures it again.
-        commit: The commit of the program that was measured.
+        command: The command that repeats the measurement.
+        commit: The commit of the measured program.
         clock: One of ``CLOCKS``.
-        points: By rising size.
-        fit: The line through the medians; None where there is one point.
-        dirty: Whether the measured program was not as committed.
-        at: When it was measured, UTC.
-        machine: What it was measured on.
-        unreached: Sizes without values.
+        points: The measured points in order of size.
+        fit: The line through the medians; None if there is only one point.
+        dirty: Whether the measured program had uncommitted changes.
+        measured_at: The time of the measurement, UTC.
+        machine: The machine of the measurement.
+        unreached: Sizes at which the measurement did not succeed.
     """
 
     name: str
     role: str
-    what: str
-    by: str
+    description: str
+    size_label: str
     unit: str
     command: str
     commit: str
@@ -72,7 +72,7 @@
     points: list[MeasuredPoint]
     fit: LineFit | None = None
     dirty: bool = False
-    at: str = ""
+    measured_at: str = ""
     machine: dict[str, Any] = field(default_factory=dict)
     unreached: list[UnreachedPoint] = field(default_factory=list)
 
@@ -93,7 +93,7 @@
     """Return a measurement from its parsed JSON.
 
     Raises:
-        ValueError: It is none; one line ``file: field: what is wrong``.
+        ValueError: The document is no valid measurement; one line ``file: field: reason``.
     """
     if not isinstance(raw, Mapping):
         raise ValueError(f"{file}: v: must be an object with the fields of a measurement")
@@ -103,11 +103,11 @@
     name = reader.matching_text("name", NAME_PATTERN, "lower-case words joined by -")
     role = reader.text("role", ROLES)
     clock = reader.text("clock", CLOCKS)
-    what = reader.text("what")
-    by = reader.text("by")
+    description = reader.text("what")
+    size_label = reader.text("by")
     unit = reader.text("unit")
     command = reader.text("command")
-    at = reader.text("at")
+    measured_at = reader.text("at")
     commit = reader.matching_text(
         "commit", COMMIT_PATTERN, "a whole commit of 40 hexadecimal digits"
     )
@@ -119,15 +119,15 @@
     measurement = Measurement(
         name=name,
         role=role,
-        what=what,
-        by=by,
+        description=description,
+        size_label=size_label,
         unit=unit,
         command=command,
         commit=commit,
         clock=clock,
         points=_read_points(reader, rounds),
         dirty=dirty,
-        at=at,
+        measured_at=measured_at,
         machine=machine,
         unreached=_read_unreached(reader),
     )
@@ -153,7 +153,7 @@
             raise reader.error(f"{name}.x", f"must rise, {x:g} follows {points[-1].x:g}")
         values = item["values"]
         if not isinstance(values, list) or len(values) != rounds:
-            raise reader.error(f"{name}.values", f"must be a list of {rounds}, one a round")
+            raise reader.error(f"{name}.values", f"must be a list of {rounds}, one per round")
         checked = [reader.non_negative(value, f"{name}.values") for value in values]
         points.append(MeasuredPoint(x, checked))
     return points
@@ -174,25 +174,25 @@
 
 
 def _read_fit(reader: FieldReader, points: list[Point]) -> LineFit | None:
-    """Return the fit of the points, once the kept one agrees with it.
+    """Return the fit of the points after a check that the stored one agrees with it.
 
-    Guards the page against points that were changed without their fit.
+    The check keeps points that were edited without their fit off the page.
     """
-    kept = reader.raw.get("fit")
+    stored = reader.raw.get("fit")
     if len(points) < 2:
-        if kept is not None:
+        if stored is not None:
             raise reader.error("fit", "must be left out, one point gives no line")
         return None
-    if not isinstance(kept, Mapping) or set(kept) != FIT_FIELDS:
+    if not isinstance(stored, Mapping) or set(stored) != FIT_FIELDS:
         raise reader.error("fit", "must have base, slope, residuals and linear_to, nothing else")
     expected = fit_line(points)
-    _check_line(reader, kept, expected, points)
-    _check_residuals(reader, kept["residuals"], expected)
+    _check_line(reader, stored, expected, points)
+    _check_residuals(reader, stored["residuals"], expected)
     return expected
 
 
 def _check_line(
-    reader: FieldReader, kept: Mapping[str, Any], expected: LineFit, points: list[Point]
+    reader: FieldReader, stored: Mapping[str, Any], expected: LineFit, points: list[Point]
 ) -> None:
     base_tolerance = FIT_TOLERANCE * max(abs(point.y) for point in points)
     slope_tolerance = base_tolerance / (points[-1].x - points[0].x)
@@ -201,15 +201,15 @@
         ("slope", expected.slope, slope_tolerance),
         ("linear_to", expected.linear_to, 0.0),
     ):
-        if abs(reader.number(kept[name], f"fit.{name}") - value) > tolerance:
-            raise reader.error(f"fit.{name}", f"is {kept[name]!r}, the points give {value:.6g}")
+        if abs(reader.number(stored[name], f"fit.{name}") - value) > tolerance:
+            raise reader.error(f"fit.{name}", f"is {stored[name]!r}, the points give {value:.6g}")
 
 
-def _check_residuals(reader: FieldReader, kept: object, expected: LineFit) -> None:
+def _check_residuals(reader: FieldReader, stored: object, expected: LineFit) -> None:
     name = "fit.residuals"
     count = len(expected.residuals)
-    if not isinstance(kept, list) or len(kept) != count:
-        raise reader.error(name, f"must be a list of {count}, one a point")
-    for value, residual in zip(kept, expected.residuals, strict=True):
+    if not isinstance(stored, list) or len(stored) != count:
+        raise reader.error(name, f"must be a list of {count}, one per point")
+    for value, residual in zip(stored, expected.residuals, strict=True):
         if abs(reader.number(value, name) - residual) > FIT_TOLERANCE:
             raise reader.error(name, f"has {value!r}, the points give {residual:.6g}")
--- a/umberusher/capacity/roles/fleet.py
+++ b/umberusher/capacity/roles/fleet.py
@@ -1,20 +1,20 @@
-"""The role of all brokers together, as scale runs play them."""
+"""The role of all brokers together, as scale runs simulate them."""
 
 from __future__ import annotations
 
 from umberusher.capacity.budget_rows import Formula, Moment, Resource, Role, RowDefinition
 from umberusher.capacity.roles.formulas import planned, scene_figure
 from umberusher.capacity.roles.mechanisms import (
+    ALTERNATE_CONTROL,
+    CHUNKED_LIST,
     DRAINS,
-    LIST_IN_PIECES,
     LONG_POLL,
-    OTHER_CONTROL,
     SEVERAL_ADDRESSES,
 )
 
 
 def served_fraction(scene: str) -> Formula:
-    """Return the formula of the fraction of a scene's statements that was served."""
+    """Return the formula of the fraction of a scene's ended statements that were served."""
     served, *others = (
         scene_figure(scene, f"statements {word}", "statements", "statement")
         for word in ("served", "refused", "failed", "expired", "with its broker")
@@ -24,14 +24,15 @@
 
 def scene_rows(scene: str, moment: Moment) -> tuple[RowDefinition, ...]:
     """Return the rows that each scene of a scale run has."""
-    # Where no updates could be sent, times count from the return: what was changed meanwhile has a
-    # row of its own.
-    away = moment in (Moment.REGIONS_APART, Moment.CONTROL_ALL_LOST)
+    # If no updates can be sent, times count from the end of the interruption: changes that are
+    # made during it have a row of their own.
+    no_updates = moment in (Moment.REGIONS_APART, Moment.CONTROL_ALL_LOST)
     return (
         RowDefinition(
             Resource.TIME,
             moment,
-            f"until a change is in force at the last broker{', from the return on' * away}, 50th",
+            f"until a change is in force at the last broker"
+            f"{', from the return on' * no_updates}, 50th",
             "s",
             scene_figure(scene, "change in force at the last broker, 50th", "s", "s"),
             mechanism=LONG_POLL,
@@ -50,9 +51,9 @@
             "the same, largest",
             "s",
             scene_figure(scene, "change in force at the last broker, largest", "s", "s"),
-            "" if away else "in_force_within",
+            "" if no_updates else "in_force_within",
             LONG_POLL,
-            SEVERAL_ADDRESSES if "lost" in moment else LIST_IN_PIECES,
+            SEVERAL_ADDRESSES if "lost" in moment else CHUNKED_LIST,
         ),
         *(
             (
@@ -64,14 +65,15 @@
                     planned(lambda costs: costs.plan.regions_apart),
                     "in_force_within",
                     "",
-                    OTHER_CONTROL,
+                    ALTERNATE_CONTROL,
                 ),
             )
-            if away
+            if no_updates
             else ()
         ),
-        # The scene of update bursts plays them far closer together than a day has them: what its
-        # bytes come to a second is no figure of the size. A day's bursts are a row of the broker.
+        # The scene of update bursts plays them far closer together than they occur in a day, so
+        # its bytes per second do not describe the planned size and have no budget. A day's bursts
+        # are a row of the broker.
         RowDefinition(
             Resource.MESSAGES,
             moment,
@@ -80,7 +82,7 @@
             scene_figure(scene, "control bytes of a broker, mean", "KB/s", "KB/s/broker"),
             "" if moment == Moment.UPDATE_BURST else "control_bytes",
             LONG_POLL,
-            LIST_IN_PIECES,
+            CHUNKED_LIST,
         ),
         RowDefinition(
             Resource.MESSAGES,
@@ -164,7 +166,7 @@
         *scene_rows("lumps", Moment.UPDATE_BURST),
         *scene_rows("zone_lost", Moment.ZONE_LOST),
         *scene_rows("region_start", Moment.REGION_START),
-        # No budget: on the step clock neither the list's bytes nor its reading take any time.
+        # No budget: on the step clock, transfer and parsing of the list take no time.
         RowDefinition(
             Resource.TIME,
             Moment.REGION_START,
