--- a/umberusher/commands/scale_run.py
+++ b/umberusher/commands/scale_run.py
@@ -12,14 +12,14 @@
 from umberusher.commands import tools
 from umberusher.errors import UsageError
 from umberusher.scale import plan as plans
-from umberusher.scale.figures import Figure
+from umberusher.scale.figures import Metric
 from umberusher.scale.plan import Plan
 from umberusher.scale.plan_fields import LOAD_FIELDS, SIZE_FIELDS
-from umberusher.scale.record import HeadlineFigure, record
+from umberusher.scale.record import HeadlineMetric, record
 from umberusher.scale.run import RunResult, play
 from umberusher.scale.scene_counts import SceneCounts
 
-Figures = Mapping[str, Figure]
+Figures = Mapping[str, Metric]
 
 # The figure of the slowest change, of a scene and of a phase with real brokers.
 SLOWEST_CHANGE = "change in force at the last broker, largest"
@@ -107,7 +107,7 @@
     return f"{command} --only {args.only}" if args.only else command
 
 
-def _headline(plan: Plan, scenes: Mapping[str, Figures], real: Figures) -> HeadlineFigure:
+def _headline(plan: Plan, scenes: Mapping[str, Figures], real: Figures) -> HeadlineMetric:
     """Return the slowest change of all scenes, or of the real brokers without scenes."""
     delays_s = [
         figures[SLOWEST_CHANGE]["value"] for figures in scenes.values() if SLOWEST_CHANGE in figures
@@ -116,7 +116,7 @@
         delays_s = [
             each["value"] for name, each in real.items() if name.endswith(REAL_SLOWEST_SUFFIX)
         ]
-    return HeadlineFigure(
+    return HeadlineMetric(
         plan.size.brokers,
         max(delays_s, default=0.0),
         "s",
--- a/umberusher/scale/figures.py
+++ b/umberusher/scale/figures.py
@@ -15,14 +15,14 @@
 NORMAL_MEAN = 1e4
 
 
-class Figure(TypedDict):
+class Metric(TypedDict):
     """A value with its unit, as results carry it."""
 
     value: float
     unit: str
 
 
-def figure(value: float, unit: str) -> Figure:
+def figure(value: float, unit: str) -> Metric:
     """Return a value with its unit, in at most four decimals."""
     return {"value": round(value, DECIMALS) if isinstance(value, float) else value, "unit": unit}
 
--- a/umberusher/scale/real_brokers.py
+++ b/umberusher/scale/real_brokers.py
@@ -15,7 +15,7 @@
 
 from umberusher.scale.descriptors import allow_descriptors
 from umberusher.scale.endpoint_list import draw_weight
-from umberusher.scale.figures import Figure, figure, quantile
+from umberusher.scale.figures import Metric, figure, quantile
 from umberusher.scale.plan import Plan, RealBrokersPlan
 from umberusher.scale.real_discovery import DiscoveryProcess, DiscoveryReport, broker_names
 from umberusher.scale.real_fleet import SOCKETS, STEP_MS, RealFleet
@@ -83,7 +83,7 @@
     ]
 
 
-def play_real(plan: Plan, real: RealBrokersPlan) -> dict[str, Figure]:
+def play_real(plan: Plan, real: RealBrokersPlan) -> dict[str, Metric]:
     """Play all phases with real brokers and return the figures."""
     allow_descriptors(SOCKETS + 2 * real.brokers * CLIENT_DESCRIPTORS)
     size = plan.size
@@ -101,7 +101,7 @@
     discovery: DiscoveryProcess,
     real: RealBrokersPlan,
     random_source: random.Random,
-) -> dict[str, Figure]:
+) -> dict[str, Metric]:
     with tempfile.TemporaryDirectory() as folder:
         entries = [fleet.entry(number) for number in range(real.engines)]
         discovery.publish(entries, complete=True)
@@ -144,7 +144,7 @@
         self._random = random_source
         self._phase = phase
 
-    def play(self) -> dict[str, Figure]:
+    def play(self) -> dict[str, Metric]:
         """Play the phase and return its figures."""
         fleet = self._fleet
         first_revision = self._discovery.revision + 1
@@ -163,7 +163,7 @@
             found |= self._statement_figures(usage)
         return self._named(found)
 
-    def _named(self, figures: dict[str, Figure]) -> dict[str, Figure]:
+    def _named(self, figures: dict[str, Metric]) -> dict[str, Metric]:
         return {f"{self._phase.name}: {name}": each for name, each in figures.items()}
 
     def _run(self) -> PhaseUsage:
@@ -205,7 +205,7 @@
 
     def _usage_figures(
         self, usage: PhaseUsage, bytes_before: dict[str, int], bytes_after: dict[str, int]
-    ) -> dict[str, Figure]:
+    ) -> dict[str, Metric]:
         used_s = usage.processor_times_s
         median_s = statistics.median(used_s)
         sent_bytes = max(
@@ -228,7 +228,7 @@
             found["a real broker's processor time in all"] = figure(median_s, "s")
         return found
 
-    def _change_figures(self, delays_s: Sequence[float]) -> dict[str, Figure]:
+    def _change_figures(self, delays_s: Sequence[float]) -> dict[str, Metric]:
         if not delays_s:
             return {}
         known_s = [delay_s for delay_s in delays_s if delay_s < NEVER_S]
@@ -236,7 +236,7 @@
         found = {name: figure(len(delays_s) - len(known_s), "changes")}
         return found | quantile_figures("in force", known_s, "s")
 
-    def _statement_figures(self, usage: PhaseUsage) -> dict[str, Figure]:
+    def _statement_figures(self, usage: PhaseUsage) -> dict[str, Metric]:
         fleet = self._fleet
         count = usage.statement_count * self._real.brokers
         found = {
--- a/umberusher/scale/real_fleet.py
+++ b/umberusher/scale/real_fleet.py
@@ -21,7 +21,7 @@
 from umberusher.net.loop import Loop
 from umberusher.replay import site
 from umberusher.scale.broker_settings import ORDINARY_TYPE, zone_name
-from umberusher.scale.figures import Figure, figure
+from umberusher.scale.figures import Metric, figure
 from umberusher.scale.plan import FleetSize
 from umberusher.scale.process_usage import private_memory_mb, processor_time_s
 from umberusher.scale.real_discovery import broker_names
@@ -137,7 +137,7 @@
         """Run the stand-ins for a time."""
         self.run_until(lambda: False, duration_s)
 
-    def wait_until_ready(self) -> dict[str, Figure]:
+    def wait_until_ready(self) -> dict[str, Metric]:
         """Ask each broker whether it is ready, until all are; return how long it took."""
         started_s = time.monotonic()
         ready_after_s: dict[int, float] = {}
--- a/umberusher/scale/record.py
+++ b/umberusher/scale/record.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from umberusher.scale.figures import Figure
+from umberusher.scale.figures import Metric
 from umberusher.scale.plan import Plan
 
 RECORD_VERSION = 1
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeadlineFigure:
+class HeadlineMetric:
     """The one figure that stands for a run: ``value`` at the size ``size``."""
 
     size: int
@@ -67,8 +67,8 @@
     name: str,
     plan: Plan,
     command: str,
-    figures: Mapping[str, Figure],
-    headline: HeadlineFigure,
+    figures: Mapping[str, Metric],
+    headline: HeadlineMetric,
     details: Mapping[str, Any],
 ) -> dict[str, Any]:
     """Return the document of a measurement.
--- a/umberusher/scale/run.py
+++ b/umberusher/scale/run.py
@@ -15,7 +15,7 @@
 from multiprocessing.process import BaseProcess
 
 from umberusher.scale.descriptors import allow_descriptors
-from umberusher.scale.figures import Figure, digest
+from umberusher.scale.figures import Metric, digest
 from umberusher.scale.plan import Plan
 from umberusher.scale.process_usage import resident_memory_mb
 from umberusher.scale.scene_counts import SceneCounts, merge
@@ -50,13 +50,13 @@
         resources: What the run itself took.
     """
 
-    scenes: dict[str, dict[str, Figure]] = field(default_factory=dict)
+    scenes: dict[str, dict[str, Metric]] = field(default_factory=dict)
     counts: dict[str, SceneCounts] = field(default_factory=dict)
     digest: str = ""
     workers: int = 0
     not_run: list[str] = field(default_factory=list)
     stop_reason: str = ""
-    resources: dict[str, Figure] = field(default_factory=dict)
+    resources: dict[str, Metric] = field(default_factory=dict)
 
 
 def play(plan: Plan, on_scene: SceneObserver | None = None) -> RunResult:
@@ -190,7 +190,7 @@
                 process.kill()
                 process.join()
 
-    def resources(self) -> dict[str, Figure]:
+    def resources(self) -> dict[str, Metric]:
         """Return what the run has taken until now."""
         cpu_s = sum(counts.cpu_s for counts in self.counts.values())
         return {
@@ -200,5 +200,5 @@
         }
 
 
-def _resource(value: float, unit: str) -> Figure:
+def _resource(value: float, unit: str) -> Metric:
     return {"value": round(value, 1), "unit": unit}
--- a/umberusher/scale/scene_figures.py
+++ b/umberusher/scale/scene_figures.py
@@ -7,7 +7,7 @@
 from operator import attrgetter
 from typing import NamedTuple
 
-from umberusher.scale.figures import Figure, chance_largest, figure, quantile
+from umberusher.scale.figures import Metric, chance_largest, figure, quantile
 from umberusher.scale.scene_counts import SceneCounts
 from umberusher.simulated_fleet.statement_counts import StatementOutcome
 
@@ -39,7 +39,7 @@
 )
 
 
-def scene_figures(counts: SceneCounts) -> dict[str, Figure]:
+def scene_figures(counts: SceneCounts) -> dict[str, Metric]:
     """Return the figures of a scene by their names in results."""
     return {
         "brokers": figure(counts.brokers, "brokers"),
@@ -56,7 +56,7 @@
     }
 
 
-def quantile_figures(name: str, values: Sequence[float], unit: str) -> dict[str, Figure]:
+def quantile_figures(name: str, values: Sequence[float], unit: str) -> dict[str, Metric]:
     """Return the median, the 99th percentile and the largest of some values, if there are any."""
     if not values:
         return {}
@@ -70,7 +70,7 @@
     return [value / MICROSECONDS for value in values_us]
 
 
-def _list_figures(counts: SceneCounts) -> dict[str, Figure]:
+def _list_figures(counts: SceneCounts) -> dict[str, Metric]:
     found = {"changes": figure(len(counts.slowest_us), "changes")}
     found |= quantile_figures(
         "change in force at the last broker", _seconds(list(counts.slowest_us.values())), "s"
@@ -84,7 +84,7 @@
     return found
 
 
-def _control_figures(counts: SceneCounts) -> dict[str, Figure]:
+def _control_figures(counts: SceneCounts) -> dict[str, Metric]:
     found = {}
     if counts.control_bytes:
         mean_bytes = sum(counts.control_bytes) / len(counts.control_bytes)
@@ -101,7 +101,7 @@
     return found
 
 
-def _engine_figures(counts: SceneCounts) -> dict[str, Figure]:
+def _engine_figures(counts: SceneCounts) -> dict[str, Metric]:
     serving = counts.serving_engines
     found = _per_engine("connections", counts.connections, serving)
     found |= _per_engine("brokers with it in scope", counts.known_to_brokers, serving)
@@ -121,7 +121,7 @@
     return sum(values) / max(len(values), 1)
 
 
-def _per_engine(name: str, by_engine: array[int], engines: Sequence[int]) -> dict[str, Figure]:
+def _per_engine(name: str, by_engine: array[int], engines: Sequence[int]) -> dict[str, Metric]:
     """Return how evenly something is spread over the engines that serve."""
     values = _chosen(by_engine, engines)
     mean = _mean(values)
@@ -133,7 +133,7 @@
     return found
 
 
-def _statement_figures(counts: SceneCounts) -> dict[str, Figure]:
+def _statement_figures(counts: SceneCounts) -> dict[str, Metric]:
     found = {
         f"statements {outcome}": figure(counts.outcomes[outcome], "statements")
         for outcome in SHOWN_OUTCOMES
@@ -148,7 +148,7 @@
     return found
 
 
-def _primary_figures(counts: SceneCounts) -> dict[str, Figure]:
+def _primary_figures(counts: SceneCounts) -> dict[str, Metric]:
     if not counts.switchover_us and not counts.not_switched_over:
         return {}
     found = quantile_figures(
