--- a/tests/scale/small_runs.py
+++ b/tests/scale/small_runs.py
@@ -7,7 +7,7 @@
 from umberusher.scale.plan import FleetSize, Plan, ScenePlan, StatementLoad, from_fields
 from umberusher.scale.plan_fields import LOAD_FIELDS, SCENE_FIELDS, SIZE_FIELDS
 from umberusher.scale.scene_counts import SceneCounts, merge
-from umberusher.scale.world import World
+from umberusher.scale.world import SceneRunner
 from umberusher.simulated_fleet.shared_parse import shared_parse
 
 BROKERS = 6
@@ -58,15 +58,15 @@
 
 def play_here(plan: Plan, workers: int = 1) -> dict[str, SceneCounts]:
     """Play all scenes by the worlds of so many workers, one after another."""
-    parts = []
+    scenes_by_worker = []
     for worker in range(workers):
         with shared_parse():
-            world = World(plan, worker, workers)
-            parts.append([world.play(each) for each in plan.scenes])
-            world.close()
+            runner = SceneRunner(plan, worker, workers)
+            scenes_by_worker.append([runner.play(each) for each in plan.scenes])
+            runner.close()
     return {
         each.name: merge(counts)
-        for each, counts in zip(plan.scenes, zip(*parts, strict=True), strict=True)
+        for each, counts in zip(plan.scenes, zip(*scenes_by_worker, strict=True), strict=True)
     }
 
 
--- a/tests/scale/test_descriptors.py
+++ b/tests/scale/test_descriptors.py
@@ -5,9 +5,9 @@
 import pytest
 
 from umberusher.errors import UsageError
-from umberusher.scale.descriptors import allow_descriptors
+from umberusher.scale.descriptors import ensure_descriptor_limit
 
 
-def test_allow_descriptors_raises_one_line_when_the_system_allows_fewer():
+def test_ensure_descriptor_limit_raises_when_the_system_allows_fewer():
     with pytest.raises(UsageError, match="a worker needs 1,000,000,000 descriptors"):
-        allow_descriptors(1_000_000_000)
+        ensure_descriptor_limit(1_000_000_000)
--- a/tests/scale/test_plan.py
+++ b/tests/scale/test_plan.py
@@ -12,7 +12,7 @@
 
 ROOT = Path(__file__).parents[2]
 PLANS = ROOT / "deploy" / "scale"
-GOOD = """
+VALID_PLAN = """
 run = size(brokers = 6, engines = 48)
 statements = traffic(stretch = ms(4))
 scenes = [scene("start"), scene("ordinary", lasts = s(20))]
@@ -84,44 +84,46 @@
         ("traffic(", "trafic(", "run.star:3:14: Variable `trafic` not found"),
     ],
 )
-def test_load_names_file_and_field_in_one_line_when_a_plan_is_wrong(
+def test_load_reports_file_and_field_in_one_line_when_a_plan_is_invalid(
     tmp_path, capsys, before, after, message
 ):
     path = tmp_path / "run.star"
-    assert before in GOOD
-    path.write_text(GOOD.replace(before, after))
+    assert before in VALID_PLAN
+    path.write_text(VALID_PLAN.replace(before, after))
     assert cli.main(["scale", "run", str(path)]) == 2
     error = capsys.readouterr().err
     assert error.startswith(f"umberusher: {message}")
     assert error.count("\n") == 1
 
 
-def test_load_converts_figures_to_seconds_and_rates_a_second(tmp_path):
+def test_load_converts_values_to_seconds_and_rates_per_second(tmp_path):
     path = tmp_path / "run.star"
-    path.write_text(GOOD.replace("lasts = s(20)", "lasts = minutes(0.5), changes = per_day(86400)"))
-    found = plan.load(str(path))
-    assert found.scenes[1].fields == {"lasts": 30.0, "changes": pytest.approx(1.0)}
-    assert found.load.burst_s == 0.004
-    assert found.real is None
+    path.write_text(
+        VALID_PLAN.replace("lasts = s(20)", "lasts = minutes(0.5), changes = per_day(86400)")
+    )
+    loaded_plan = plan.load(str(path))
+    assert loaded_plan.scenes[1].fields == {"lasts": 30.0, "changes": pytest.approx(1.0)}
+    assert loaded_plan.load.burst_s == 0.004
+    assert loaded_plan.real is None
 
 
 @pytest.mark.parametrize("names", [["small"], ["fleet", "fleet-inputs"]])
-def test_load_reads_the_kept_plans_which_hold_every_scene(names):
+def test_load_reads_the_deployed_plans_which_contain_every_scene(names):
     plans = [plan.load(str(PLANS / f"{name}.star")) for name in names]
     assert {scene.kind for each in plans for scene in each.scenes} == set(SCENE_FIELDS)
     assert plans[0].real
 
 
-def test_load_reads_the_kept_plan_of_real_brokers():
+def test_load_reads_the_deployed_plan_of_real_brokers():
     assert plan.load(str(PLANS / "real.star")).real.engines == 32_000
 
 
-def test_to_fields_gives_the_names_and_values_of_the_plan(tmp_path):
+def test_to_fields_returns_the_names_and_values_of_the_plan(tmp_path):
     path = tmp_path / "run.star"
-    path.write_text(GOOD)
-    found = plan.load(str(path))
-    size = plan.to_fields(found.size, plan.SIZE_FIELDS)
+    path.write_text(VALID_PLAN)
+    loaded_plan = plan.load(str(path))
+    size = plan.to_fields(loaded_plan.size, plan.SIZE_FIELDS)
     assert list(size) == list(plan.SIZE_FIELDS)
     assert size["brokers"] == 6
     assert size["memory_most"] == 12_000.0
-    assert plan.to_fields(found.load, plan.LOAD_FIELDS)["stretch"] == 0.004
+    assert plan.to_fields(loaded_plan.load, plan.LOAD_FIELDS)["stretch"] == 0.004
--- a/tests/scale/test_real_brokers.py
+++ b/tests/scale/test_real_brokers.py
@@ -9,7 +9,7 @@
 from umberusher.scale.real_brokers import play_real
 
 
-def test_play_real_has_all_changes_in_force_and_statements_served_meanwhile():
+def test_play_real_applies_all_changes_while_statements_are_served():
     real = RealBrokersPlan(
         brokers=1,
         engines=20,
@@ -18,10 +18,10 @@
         burst_entries=10,
         statements_per_s=20.0,
     )
-    found = play_real(small_plan(), real)
-    assert found["real brokers ready"]["value"] == 1
+    metrics = play_real(small_plan(), real)
+    assert metrics["real brokers ready"]["value"] == 1
     for phase in ("ordinary changes", "a lump", "statements and a lump"):
-        assert found[f"{phase}: not in force after 5 s"]["value"] == 0
-    assert found["statements alone: statements served"] == found["statements alone: statements"]
-    assert found["ordinary changes: a real broker's control bytes"]["value"] > 0
+        assert metrics[f"{phase}: not in force after 5 s"]["value"] == 0
+    assert metrics["statements alone: statements served"] == metrics["statements alone: statements"]
+    assert metrics["ordinary changes: a real broker's control bytes"]["value"] > 0
     assert not multiprocessing.active_children()
--- a/tests/scale/test_run.py
+++ b/tests/scale/test_run.py
@@ -13,17 +13,17 @@
 from umberusher.scale import run
 from umberusher.scale.figures import digest
 from umberusher.scale.plan import ScenePlan
-from umberusher.scale.scene_figures import scene_figures
+from umberusher.scale.scene_figures import scene_metrics
 
 ROOT = Path(__file__).parents[2]
 
 
-def test_play_gives_what_worlds_in_this_process_give():
+def test_play_gives_the_same_metrics_as_scene_runners_in_this_process():
     plan = small_plan(scene("ordinary"))
     result = run.play(plan)
     assert result.not_run == []
     assert result.stop_reason == ""
-    expected = {name: scene_figures(counts) for name, counts in play_here(plan).items()}
+    expected = {name: scene_metrics(counts) for name, counts in play_here(plan).items()}
     assert result.digest == digest(expected)
     assert result.scenes == expected
 
@@ -32,21 +32,23 @@
     ("bound", "reason"),
     [({"wall_time_max_s": 0.01}, "wall time: over 0 s"), ({"memory_max_mb": 1.0}, "memory: ")],
 )
-def test_play_ends_its_workers_and_names_what_was_not_run_when_a_bound_is_passed(bound, reason):
+def test_play_stops_its_workers_and_reports_unfinished_scenes_when_a_bound_is_exceeded(
+    bound, reason
+):
     result = run.play(small_plan(scene("ordinary"), **bound))
     assert result.stop_reason.startswith(reason)
     assert result.not_run[-1] == "ordinary"
     assert not multiprocessing.active_children()
 
 
-def test_play_names_the_error_when_a_worker_fails():
+def test_play_reports_the_error_when_a_worker_fails():
     result = run.play(small_plan(ScenePlan("unheard", "unheard", {"lasts": 1.0})))
     assert "KeyError: 'unheard'" in result.stop_reason
     assert result.not_run[-1] == "unheard"
     assert not multiprocessing.active_children()
 
 
-def test_serve_imports_nothing_of_scale_runs():
+def test_serve_imports_no_scale_run_modules():
     code = (
         "import sys, umberusher.commands.serve; "
         "packages = ('umberusher.simulated_fleet', 'umberusher.scale'); "
--- a/tests/scale/test_scene_counts.py
+++ b/tests/scale/test_scene_counts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from umberusher.scale.scene_counts import MachineSecond, SceneCounts, merge
-from umberusher.scale.scene_figures import scene_figures
+from umberusher.scale.scene_figures import scene_metrics
 from umberusher.simulated_fleet.control_machine import MachineTraffic
 
 
@@ -43,13 +43,13 @@
     assert merged.largest_state_counts == {"listed": 7}
 
 
-def test_scene_figures_are_the_same_in_whichever_order_workers_report():
-    figures = scene_figures(merge([worker_counts(5, 0), worker_counts(7, 1)]))
-    assert figures["statements an engine, largest over mean"]["value"] == pytest.approx(
+def test_scene_metrics_do_not_depend_on_the_order_in_which_workers_report():
+    metrics = scene_metrics(merge([worker_counts(5, 0), worker_counts(7, 1)]))
+    assert metrics["statements an engine, largest over mean"]["value"] == pytest.approx(
         4 / 3, abs=1e-4
     )
-    assert figures["control bytes of a broker, largest"] == {"value": 0.5, "unit": "KB/s"}
-    assert scene_figures(merge([worker_counts(7, 1), worker_counts(5, 0)])) == figures
+    assert metrics["control bytes of a broker, largest"] == {"value": 0.5, "unit": "KB/s"}
+    assert scene_metrics(merge([worker_counts(7, 1), worker_counts(5, 0)])) == metrics
 
 
 def test_merge_raises_when_workers_have_not_played_the_same_script():
--- a/tests/scale/test_scenes.py
+++ b/tests/scale/test_scenes.py
@@ -11,13 +11,13 @@
 from umberusher.scale.figures import digest
 from umberusher.scale.plan import ScenePlan
 from umberusher.scale.scene_counts import SceneCounts
-from umberusher.scale.scene_figures import scene_figures
+from umberusher.scale.scene_figures import scene_metrics
 
 # Within which a change must be in force at the last broker.
 CHANGE_LIMIT_US = 14_000_000
 
 
-def assert_rules_kept(counts: SceneCounts) -> None:
+def assert_no_rule_violations(counts: SceneCounts) -> None:
     """Check what holds after every scene."""
     assert not counts.violations, counts.descriptions
     assert not counts.behind
@@ -28,7 +28,7 @@
     assert counts.outcomes["served"]
 
 
-def test_world_gives_the_same_figures_for_the_same_seed_with_one_worker_and_with_two():
+def test_same_seed_gives_the_same_metrics_with_one_worker_and_with_two():
     kinds = (
         "ordinary",
         "zone_lost",
@@ -42,14 +42,14 @@
 
     def played_digest(workers: int, seed: int = 1) -> str:
         counts = play_here(small_plan(*scenes, seed=seed), workers)
-        return digest({name: scene_figures(each) for name, each in counts.items()})
+        return digest({name: scene_metrics(each) for name, each in counts.items()})
 
     assert played_digest(1) == played_digest(1) == played_digest(2) != played_digest(1, seed=2)
 
 
 def test_ordinary_changes_are_in_force_at_every_broker_in_time():
     counts = play_one("ordinary")
-    assert_rules_kept(counts)
+    assert_no_rule_violations(counts)
     # 2 a second for 9 s.
     assert len(counts.slowest_us) == 18
     assert set(counts.brokers_applied.values()) == {BROKERS}
@@ -57,9 +57,9 @@
 
 
 @pytest.mark.parametrize("kind", ["lumps", "hail", "ids", "twice", "nothing"])
-def test_brokers_hold_no_more_whatever_the_list_names(kind):
+def test_state_of_brokers_stays_bounded_whatever_the_list_names(kind):
     counts = play_one(kind, **({"changes": 100.0} if kind == "hail" else {}))
-    assert_rules_kept(counts)
+    assert_no_rule_violations(counts)
     assert max(counts.slowest_us.values()) <= CHANGE_LIMIT_US
     assert set(counts.brokers_applied.values()) == {BROKERS}
     largest = counts.largest_state_counts
@@ -75,24 +75,24 @@
 
 def test_empty_list_leaves_no_engine_to_send_to_and_the_next_list_restores_all():
     counts = play_one("nothing")
-    assert_rules_kept(counts)
+    assert_no_rule_violations(counts)
     known = [counts.known_to_brokers[number] for number in counts.serving_engines]
     assert known == [BROKERS] * ENGINES
 
 
-def test_zone_lost_costs_only_what_was_in_flight_and_its_engines_come_back():
+def test_lost_zone_affects_only_statements_in_flight_and_its_engines_return():
     counts = play_one("zone_lost", zone=3.0)
-    assert_rules_kept(counts)
-    broken = counts.attempt_outcomes[AttemptOutcome.NO_CONNECTION.value]
+    assert_no_rule_violations(counts)
+    no_connection = counts.attempt_outcomes[AttemptOutcome.NO_CONNECTION.value]
     cancelled = counts.attempt_outcomes[AttemptOutcome.CANCELLED.value]
-    assert broken + cancelled > 0
+    assert no_connection + cancelled > 0
     assert len(counts.serving_engines) == ENGINES
     assert counts.outcomes["served"] > 0.9 * sum(counts.outcomes.values())
 
 
-def test_region_restart_has_all_brokers_of_the_region_ready_in_time():
+def test_restarted_brokers_of_a_region_are_ready_in_time():
     counts = play_one("region_start")
-    assert_rules_kept(counts)
+    assert_no_rule_violations(counts)
     # Brokers 0 and 3, of zones 0 and 3.
     assert len(counts.ready_us) == 2
     assert max(counts.ready_us) < 10_000_000
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize(
     ("machines", "own_addresses", "not_notified"), [(1, 0, 0), (3, 0, 0), (6, 0, 6), (3, 1, 4)]
 )
-def test_control_lost_leaves_brokers_without_updates_only_where_no_machine_is_left(
+def test_control_loss_stops_updates_only_where_no_machine_remains(
     machines, own_addresses, not_notified
 ):
     """Six machines, two a region; the first three are one of each."""
@@ -109,7 +109,7 @@
         "control_lost", machines=machines, own_addresses=own_addresses, played=12.0, lasts=30.0
     )
     counts = play_here(small_plan(lost, control_machines=6))["control_lost"]
-    assert_rules_kept(counts)
+    assert_no_rule_violations(counts)
     assert counts.not_notified == not_notified
     assert set(counts.brokers_applied.values()) == {BROKERS}
     if own_addresses:  # what was changed meanwhile waits for the machine
@@ -118,7 +118,7 @@
         assert max(counts.slowest_us.values()) <= CHANGE_LIMIT_US
 
 
-def test_control_lost_takes_machines_that_have_brokers_when_played_again():
+def test_repeated_control_loss_selects_machines_that_have_brokers():
     """A machine that was lost has none afterwards: polls are long, and nothing moves them back."""
     fields = scene("control_lost", played=12.0, lasts=30.0, machines=3.0).fields
     scenes = [
@@ -130,18 +130,18 @@
     assert counts["second"].not_notified == 6
 
 
-def test_regions_apart_are_notified_of_all_changes_once_they_are_back():
+def test_partitioned_regions_receive_all_changes_after_reconnecting():
     counts = play_one("regions_apart")
-    assert_rules_kept(counts)
+    assert_no_rule_violations(counts)
     assert counts.not_notified == 4
     assert max(counts.slowest_us.values()) <= CHANGE_LIMIT_US
     assert set(counts.brokers_applied.values()) == {BROKERS}
     assert len(counts.slowest_us) > 100
 
 
-def test_primary_change_is_over_in_time_and_its_keys_go_on():
+def test_primary_change_finishes_in_time_and_keyed_statements_are_served():
     counts = play_one("primary_change", lasts=30.0)
-    assert_rules_kept(counts)
+    assert_no_rule_violations(counts)
     assert len(counts.switchover_us) == BROKERS
     assert not counts.not_switched_over
     assert max(counts.switchover_us) <= 9_000_000
@@ -153,8 +153,8 @@
     apply = EndpointRegistry.apply
 
     def apply_open_entries(self: EndpointRegistry, update: WatchEvent) -> None:
-        kept = tuple(entry for entry in update.entries if entry.state is EndpointState.UP)
-        apply(self, WatchEvent(update.revision, update.complete, kept, update.addresses))
+        up_entries = tuple(entry for entry in update.entries if entry.state is EndpointState.UP)
+        apply(self, WatchEvent(update.revision, update.complete, up_entries, update.addresses))
 
     monkeypatch.setattr(EndpointRegistry, "apply", apply_open_entries)
     counts = play_one("zone_lost", zone=3.0)
--- a/tests/simulated_fleet/test_region_view.py
+++ b/tests/simulated_fleet/test_region_view.py
@@ -14,7 +14,7 @@
     return codec.watch_events(json.loads(answer.body), known_revision)
 
 
-def test_answer_holds_what_is_new_or_the_complete_list():
+def test_answer_contains_new_updates_or_the_complete_list():
     history = UpdateHistory()
     view = RegionView(history)
     entries = [EndpointEntry(f"e{n}", EntryState.SERVING, "z0", "k") for n in range(3)]
@@ -37,7 +37,7 @@
     assert read(view.answer(2), 2) == []
 
 
-def test_answer_holds_the_complete_list_when_a_broker_is_too_far_behind():
+def test_answer_contains_the_complete_list_when_a_broker_is_too_far_behind():
     history = UpdateHistory()
     view = RegionView(history)
     for number in range(9_000):
--- a/tests/simulated_fleet/test_rule_checker.py
+++ b/tests/simulated_fleet/test_rule_checker.py
@@ -45,7 +45,7 @@
         ("drain", [("attempt_started", "r", "never")]),
     ],
 )
-def test_checker_names_the_rule_when_it_is_broken(rule, steps):
+def test_checker_reports_the_violated_rule(rule, steps):
     checker = checker_after(
         SERVING,
         ("gone", EntryState.SERVING),
--- a/tests/simulated_fleet/test_shared_parse.py
+++ b/tests/simulated_fleet/test_shared_parse.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from tests.scale.small_runs import play_here, scene, small_plan
-from umberusher.scale.scene_figures import scene_figures
-from umberusher.scale.world import World
+from umberusher.scale.scene_figures import scene_metrics
+from umberusher.scale.world import SceneRunner
 
 
-def test_shared_parse_changes_no_figure():
+def test_shared_parse_changes_no_metric():
     plan = small_plan(scene("ordinary"))
-    shared = [scene_figures(counts) for counts in play_here(plan).values()]
-    world = World(plan, 0, 1)
-    alone = [scene_figures(world.play(each)) for each in plan.scenes]
-    world.close()
-    assert shared == alone
+    shared = [scene_metrics(counts) for counts in play_here(plan).values()]
+    runner = SceneRunner(plan, 0, 1)
+    separate = [scene_metrics(runner.play(each)) for each in plan.scenes]
+    runner.close()
+    assert shared == separate
--- a/umberusher/scale/broker_fleet.py
+++ b/umberusher/scale/broker_fleet.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from umberusher.scale.broker_settings import broker_settings
-from umberusher.scale.draws import hashed
+from umberusher.scale.draws import hash_label
 from umberusher.scale.plan import Plan
 from umberusher.scale.statement_bursts import StatementBursts
 from umberusher.simulated_fleet.broker import BrokerIdentity, BrokerObserver, SimulatedBroker
@@ -75,7 +75,7 @@
         name = broker_name(position)
         if position not in self._addresses:
             self._addresses[position] = self._service.listen(name, region)
-        seed = hashed(self._size.seed, f"{position}/{self.incarnation}")
+        seed = hash_label(self._size.seed, f"{position}/{self.incarnation}")
         broker = SimulatedBroker(
             self._loop,
             self._loop.unix,
--- a/umberusher/scale/descriptors.py
+++ b/umberusher/scale/descriptors.py
@@ -7,17 +7,17 @@
 from umberusher.errors import UsageError
 
 
-def allow_descriptors(wanted: int) -> None:
+def ensure_descriptor_limit(required: int) -> None:
     """Allow this process so many descriptors.
 
     Raises:
         UsageError: The system does not allow them.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if hard != resource.RLIM_INFINITY and wanted > hard:
+    if hard != resource.RLIM_INFINITY and required > hard:
         raise UsageError(
-            f"a worker needs {wanted:,} descriptors, the system allows {hard:,}: more workers, "
+            f"a worker needs {required:,} descriptors, the system allows {hard:,}: more workers, "
             "or fewer brokers"
         )
-    if soft != resource.RLIM_INFINITY and soft < wanted:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
+    if soft != resource.RLIM_INFINITY and soft < required:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (required, hard))
--- a/umberusher/scale/draws.py
+++ b/umberusher/scale/draws.py
@@ -7,11 +7,11 @@
 HASH_RANGE = 2.0**64
 
 
-def hashed(seed: int, label: str) -> int:
+def hash_label(seed: int, label: str) -> int:
     """Return a whole number of 64 bits for a label."""
     return xxhash.xxh3_64_intdigest(f"{seed}/{label}".encode())
 
 
 def draw(seed: int, label: str) -> float:
     """Return a number from 0 to 1 for a label."""
-    return hashed(seed, label) / HASH_RANGE
+    return hash_label(seed, label) / HASH_RANGE
--- a/umberusher/scale/endpoint_list.py
+++ b/umberusher/scale/endpoint_list.py
@@ -16,18 +16,18 @@
 from umberusher.standin.clock import StepLoop
 
 # Since when engines are up that are not to be warming up.
-WARM_AGE_MS = 86_400_000.0
+WARM_ENGINE_AGE_MS = 86_400_000.0
 # Probability that an ordinary change goes on with a replacement that has begun.
 CONTINUE_PROBABILITY = 0.6
 # Probability that it changes an engine's weight; else it begins to replace an engine.
 WEIGHT_CHANGE_PROBABILITY = 0.7
 WEIGHT_MIN = 4
-WEIGHT_END = 13  # one above the largest weight
+WEIGHT_MAX_EXCLUSIVE = 13  # one above the largest weight
 
 
 def draw_weight(random_source: random.Random) -> float:
     """Draw an engine's weight."""
-    return float(random_source.randrange(WEIGHT_MIN, WEIGHT_END))
+    return float(random_source.randrange(WEIGHT_MIN, WEIGHT_MAX_EXCLUSIVE))
 
 
 def deleted(entry: EndpointEntry) -> EndpointEntry:
@@ -88,7 +88,7 @@
         zone: int,
         state: EntryState = EntryState.SERVING,
         machine_type: str = ORDINARY_TYPE,
-        age_ms: float = WARM_AGE_MS,
+        age_ms: float = WARM_ENGINE_AGE_MS,
     ) -> EndpointEntry:
         """Return an entry of an engine that started ``age_ms`` ago."""
         started_ms = max(round(self._loop.now * 1000.0 - age_ms), 1)
--- a/umberusher/scale/figures.py
+++ b/umberusher/scale/figures.py
@@ -12,7 +12,7 @@
 DIGEST_CHARACTERS = 16
 # Above this mean the sum of Poisson probabilities would underflow; there the distribution is
 # normal to well below a thousandth.
-NORMAL_MEAN = 1e4
+NORMAL_APPROXIMATION_MIN_MEAN = 1e4
 
 
 class Metric(TypedDict):
@@ -22,7 +22,7 @@
     unit: str
 
 
-def figure(value: float, unit: str) -> Metric:
+def metric(value: float, unit: str) -> Metric:
     """Return a value with its unit, in at most four decimals."""
     return {"value": round(value, DECIMALS) if isinstance(value, float) else value, "unit": unit}
 
@@ -33,16 +33,16 @@
     return ordered[max(math.ceil(fraction * len(ordered)) - 1, 0)]
 
 
-def chance_largest(mean: float, count: int) -> float:
+def poisson_largest_over_mean(mean: float, count: int) -> float:
     """Return largest over mean that chance alone gives among so many equal shares.
 
     It is the Poisson quantile at ``1 - 1 / count``.
     """
     if mean <= 0 or count < 2:
         return 1.0
-    if mean > NORMAL_MEAN:
+    if mean > NORMAL_APPROXIMATION_MIN_MEAN:
         return 1 + math.sqrt(2 * math.log(count)) / math.sqrt(mean)
-    wanted = 1 - 1 / count
+    wanted_probability = 1 - 1 / count
     log_mean = math.log(mean)
     # Guards against a wanted probability that rounding keeps the sum from reaching.
     limit = 20 * mean + 100
@@ -50,7 +50,7 @@
     number = 0
     while True:
         cumulated += math.exp(number * log_mean - mean - math.lgamma(number + 1))
-        if cumulated >= wanted or number > limit:
+        if cumulated >= wanted_probability or number > limit:
             return max(number, 1) / mean
         number += 1
 
--- a/umberusher/scale/plan.py
+++ b/umberusher/scale/plan.py
@@ -25,8 +25,8 @@
     UNITS,
     Field,
     PlanError,
+    format_value,
     read_fields,
-    shown,
 )
 from umberusher.traces.scripts import Script, ScriptError
 
@@ -46,7 +46,7 @@
 )
 SCRIPT_VALUES = ("run", "statements", "scenes", "real")
 SCENES_MAX = 40
-PLAYED_MAX_S = 7_200.0  # of all scenes together, on the step clock
+ALL_SCENES_MAX_S = 7_200.0  # of all scenes together, on the step clock
 # Fields of scenes that number something, and the field of the size that bounds them.
 NUMBERED_FIELDS = {"zone": "zones", "region": "regions"}
 
@@ -137,15 +137,15 @@
 
 
 def from_fields(
-    made: type[PlanSection], fields: Mapping[str, Field], values: Mapping[str, Any]
+    section_type: type[PlanSection], fields: Mapping[str, Field], values: Mapping[str, Any]
 ) -> PlanSection:
     """Return a part of a plan made from the values of its fields."""
-    return made(**{field.attribute: values[name] for name, field in fields.items()})
+    return section_type(**{field.attribute: values[name] for name, field in fields.items()})
 
 
-def to_fields(part: FleetSize | StatementLoad, fields: Mapping[str, Field]) -> dict[str, float]:
+def to_fields(section: FleetSize | StatementLoad, fields: Mapping[str, Field]) -> dict[str, float]:
     """Return the values of a part of a plan by the fields' names, as results carry them."""
-    return {name: getattr(part, field.attribute) for name, field in fields.items()}
+    return {name: getattr(section, field.attribute) for name, field in fields.items()}
 
 
 def load(path: str) -> Plan:
@@ -176,7 +176,9 @@
 ) -> dict[str, float]:
     value = script.get(name)
     if not isinstance(value, dict) or value.get("is") != constructor:
-        raise PlanError(f"{script.name}: {name} must be {constructor}(...), not {shown(value)}")
+        raise PlanError(
+            f"{script.name}: {name} must be {constructor}(...), not {format_value(value)}"
+        )
     return read_fields(f"{script.name}: {name}", value["fields"], fields)
 
 
@@ -199,23 +201,23 @@
         scenes.append(_read_scene(place, value, {scene.name for scene in scenes}, size))
     if scenes[0].kind != "start":
         raise PlanError(f"{script.name}: scenes[0].kind must be 'start': the fleet starts there")
-    if sum(scene.duration_s for scene in scenes) > PLAYED_MAX_S:
+    if sum(scene.duration_s for scene in scenes) > ALL_SCENES_MAX_S:
         raise PlanError(
-            f"{script.name}: scenes.lasts must be {PLAYED_MAX_S:g} s at the most together"
+            f"{script.name}: scenes.lasts must be {ALL_SCENES_MAX_S:g} s at the most together"
         )
     return scenes
 
 
 def _read_scene(place: str, value: object, names: set[str], size: FleetSize) -> ScenePlan:
     if not isinstance(value, dict) or value.get("is") != "scene":
-        raise PlanError(f"{place} must be scene(...), not {shown(value)}")
+        raise PlanError(f"{place} must be scene(...), not {format_value(value)}")
     kind = value["kind"]
     given = dict(value["fields"])
     if kind not in SCENE_FIELDS:
         raise PlanError(f"{place}.kind {kind!r} is not known; kinds are {', '.join(SCENE_FIELDS)}")
     name = given.pop("name", kind)
     if not isinstance(name, str) or not name:
-        raise PlanError(f"{place}.name must be a text, not {shown(name)}")
+        raise PlanError(f"{place}.name must be a text, not {format_value(name)}")
     if name in names:
         raise PlanError(f"{place}.name {name!r} is there twice")
     scene = ScenePlan(kind, name, read_fields(f"{place} ({kind})", given, SCENE_FIELDS[kind]))
--- a/umberusher/scale/plan_fields.py
+++ b/umberusher/scale/plan_fields.py
@@ -46,7 +46,7 @@
     "mb": Unit(Quantity.MEMORY, 1.0),
     "gb": Unit(Quantity.MEMORY, 1000.0),
 }
-EXPECTED = {
+EXPECTED_VALUES = {
     Quantity.TIME: "a time, as s(5) or ms(20)",
     Quantity.RATE: "a rate, as per_s(0.57)",
     Quantity.MEMORY: "an amount, as mb(256)",
@@ -164,7 +164,7 @@
 }
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     """Return a value as a message shows it: with its unit, or cut to a few characters."""
     if isinstance(value, dict) and "unit" in value:
         return f"{value['unit']}({value['value']})"
@@ -208,23 +208,23 @@
 
 def _read_value(place: str, quantity: Quantity, value: object) -> float:
     """Return a figure in the program's unit; raise PlanError if it has another quantity."""
-    wrong = PlanError(f"{place} must be {EXPECTED[quantity]}, not {shown(value)}")
+    error = PlanError(f"{place} must be {EXPECTED_VALUES[quantity]}, not {format_value(value)}")
     if quantity is Quantity.COUNT:
-        return _read_count(value, wrong)
+        return _read_count(value, error)
     if not isinstance(value, dict):
-        raise wrong
+        raise error
     unit = UNITS.get(value.get("unit", ""))
     if unit is None or unit.quantity is not quantity:
-        raise wrong
+        raise error
     number = value["value"]
     if isinstance(number, bool) or not isinstance(number, int | float) or not math.isfinite(number):
-        raise wrong
+        raise error
     return number * unit.factor
 
 
-def _read_count(value: object, wrong: PlanError) -> int:
+def _read_count(value: object, error: PlanError) -> int:
     if isinstance(value, float) and math.isfinite(value) and value == int(value):
         return int(value)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise wrong
+        raise error
     return value
--- a/umberusher/scale/plot.py
+++ b/umberusher/scale/plot.py
@@ -21,9 +21,9 @@
 WIDTH_INCHES = 12
 ROW_HEIGHT_INCHES = 2.2
 BYTES_PER_MB = 1e6
-LINE_WIDTH = 1
-TITLE_SIZE = 8
-LEGEND_SIZE = 7
+LINE_WIDTH_POINTS = 1
+TITLE_POINTS = 8
+LEGEND_POINTS = 7
 
 
 def plot_scenes(scenes: Mapping[str, SceneCounts], file_format: str = "svg") -> bytes:
@@ -36,7 +36,7 @@
         _plot_traffic(traffic_axes, name, counts)
         _plot_outcomes(outcome_axes, name, counts)
     for axes in rows[0]:
-        axes.legend(fontsize=LEGEND_SIZE)
+        axes.legend(fontsize=LEGEND_POINTS)
     for axes in rows[-1]:
         axes.set_xlabel("s")
     figure.tight_layout()
@@ -47,23 +47,23 @@
     return image.getvalue()
 
 
-def _worst_by_second(counts: SceneCounts, field: str) -> list[int]:
+def _max_by_second(counts: SceneCounts, field: str) -> list[int]:
     """Return the traffic of the machine that had most, for each second of the scene."""
     traffic_of = attrgetter(field)
-    worst = [0] * int(counts.duration_s)
+    maxima = [0] * int(counts.duration_s)
     for key, traffic in counts.machine_traffic.items():
-        if 0 <= key.second < len(worst):
-            worst[key.second] = max(worst[key.second], traffic_of(traffic))
-    return worst
+        if 0 <= key.second < len(maxima):
+            maxima[key.second] = max(maxima[key.second], traffic_of(traffic))
+    return maxima
 
 
 def _plot_traffic(axes: Axes, name: str, counts: SceneCounts) -> None:
     seconds = range(int(counts.duration_s))
-    requests = _worst_by_second(counts, "requests")
-    axes.plot(seconds, requests, label="requests a second", linewidth=LINE_WIDTH)
-    megabytes = [size / BYTES_PER_MB for size in _worst_by_second(counts, "sent_bytes")]
-    axes.plot(seconds, megabytes, label="MB a second", linewidth=LINE_WIDTH)
-    axes.set_title(f"{name}: the busiest control machine", fontsize=TITLE_SIZE)
+    requests = _max_by_second(counts, "requests")
+    axes.plot(seconds, requests, label="requests a second", linewidth=LINE_WIDTH_POINTS)
+    megabytes = [size / BYTES_PER_MB for size in _max_by_second(counts, "sent_bytes")]
+    axes.plot(seconds, megabytes, label="MB a second", linewidth=LINE_WIDTH_POINTS)
+    axes.set_title(f"{name}: the busiest control machine", fontsize=TITLE_POINTS)
     axes.set_yscale("symlog")
 
 
@@ -74,6 +74,6 @@
             100 * outcomes[outcome] / max(outcomes.total(), 1)
             for outcomes in counts.outcomes_by_second
         ]
-        axes.plot(seconds, percentages, label=outcome.value, linewidth=LINE_WIDTH)
-    axes.set_title(f"{name}: statements that were not served, in 100", fontsize=TITLE_SIZE)
+        axes.plot(seconds, percentages, label=outcome.value, linewidth=LINE_WIDTH_POINTS)
+    axes.set_title(f"{name}: statements that were not served, in 100", fontsize=TITLE_POINTS)
     axes.set_ylim(bottom=0)
--- a/umberusher/scale/real_brokers.py
+++ b/umberusher/scale/real_brokers.py
@@ -13,13 +13,13 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from umberusher.scale.descriptors import allow_descriptors
+from umberusher.scale.descriptors import ensure_descriptor_limit
 from umberusher.scale.endpoint_list import draw_weight
-from umberusher.scale.figures import Metric, figure, quantile
+from umberusher.scale.figures import Metric, metric, quantile
 from umberusher.scale.plan import Plan, RealBrokersPlan
 from umberusher.scale.real_discovery import DiscoveryProcess, DiscoveryReport, broker_names
 from umberusher.scale.real_fleet import SOCKETS, STEP_MS, RealFleet
-from umberusher.scale.scene_figures import QUANTILES, quantile_figures
+from umberusher.scale.scene_figures import QUANTILES, quantile_metrics
 
 # The longest wait until a change is in force, or a statement answered, at a phase's end.
 SETTLE_TIMEOUT_S = 5.0
@@ -85,7 +85,7 @@
 
 def play_real(plan: Plan, real: RealBrokersPlan) -> dict[str, Metric]:
     """Play all phases with real brokers and return the figures."""
-    allow_descriptors(SOCKETS + 2 * real.brokers * CLIENT_DESCRIPTORS)
+    ensure_descriptor_limit(SOCKETS + 2 * real.brokers * CLIENT_DESCRIPTORS)
     size = plan.size
     # Before the process of the control machines starts: its first update names the engines.
     fleet = RealFleet(size, real.brokers)
@@ -108,11 +108,11 @@
         discovery.wait_until_listening()
         try:
             fleet.start(folder, discovery.addresses)
-            found = fleet.wait_until_ready()
+            metrics = fleet.wait_until_ready()
             fleet.run_for(START_SETTLE_S)
             for phase in phases(real):
-                found |= PhasePlayer(fleet, discovery, real, random_source, phase).play()
-            return found
+                metrics |= PhasePlayer(fleet, discovery, real, random_source, phase).play()
+            return metrics
         finally:
             fleet.close()
 
@@ -155,16 +155,16 @@
             expected_count = usage.statement_count * self._real.brokers
             fleet.run_until(lambda: fleet.outcomes.total() >= expected_count, SETTLE_TIMEOUT_S)
         bytes_after = self._discovery.report().broker_bytes
-        fleet.run_until(self._all_known, SETTLE_TIMEOUT_S)
+        fleet.run_until(self._all_acknowledged, SETTLE_TIMEOUT_S)
         report = self._discovery.report()
-        found = self._usage_figures(usage, bytes_before, bytes_after)
-        found |= self._change_figures(_delays_s(report, first_revision))
+        metrics = self._usage_metrics(usage, bytes_before, bytes_after)
+        metrics |= self._change_metrics(_delays_s(report, first_revision))
         if self._phase.statements_per_s:
-            found |= self._statement_figures(usage)
-        return self._named(found)
+            metrics |= self._statement_metrics(usage)
+        return self._prefixed_with_phase(metrics)
 
-    def _named(self, figures: dict[str, Metric]) -> dict[str, Metric]:
-        return {f"{self._phase.name}: {name}": each for name, each in figures.items()}
+    def _prefixed_with_phase(self, metrics: dict[str, Metric]) -> dict[str, Metric]:
+        return {f"{self._phase.name}: {name}": each for name, each in metrics.items()}
 
     def _run(self) -> PhaseUsage:
         """Publish changes and submit statements for the phase's time."""
@@ -173,23 +173,23 @@
         before_s = self._fleet.processor_times_s()
         started_s = time.monotonic()
         if phase.burst_entries:
-            self._change(phase.burst_entries)
+            self._publish_change(phase.burst_entries)
         change_count = 0
         statement_count = 0
         while (elapsed_s := time.monotonic() - started_s) < phase.duration_s:
             while change_count < int(elapsed_s * phase.changes_per_s):
                 change_count += 1
-                self._change(1)
+                self._publish_change(1)
             while statement_count < int(elapsed_s * phase.statements_per_s):
                 statement_count += 1
-                self._fleet.submit_everywhere()
+                self._fleet.submit_to_all()
             self._fleet.loop.step(step_ms)
         duration_s = time.monotonic() - started_s
         after_s = self._fleet.processor_times_s()
         used_s = [after - before for after, before in zip(after_s, before_s, strict=True)]
         return PhaseUsage(duration_s, used_s, statement_count)
 
-    def _change(self, count: int) -> None:
+    def _publish_change(self, count: int) -> None:
         """Publish an update that gives some engines another weight."""
         engine_count = self._real.engines
         numbers = self._random.sample(range(engine_count), min(count, engine_count))
@@ -197,13 +197,13 @@
             [self._fleet.entry(number, draw_weight(self._random)) for number in numbers]
         )
 
-    def _all_known(self) -> bool:
+    def _all_acknowledged(self) -> bool:
         """Return whether each broker has said that it knows the newest revision."""
         newest = self._discovery.revision
-        known = self._discovery.report().known_at_s.values()
+        known = self._discovery.report().acknowledged_at_s.values()
         return all(newest in revisions for revisions in known)
 
-    def _usage_figures(
+    def _usage_metrics(
         self, usage: PhaseUsage, bytes_before: dict[str, int], bytes_after: dict[str, int]
     ) -> dict[str, Metric]:
         used_s = usage.processor_times_s
@@ -212,49 +212,49 @@
             bytes_after.get(broker, 0) - bytes_before.get(broker, 0)
             for broker in broker_names(self._real.brokers)
         )
-        found = {
-            "a real broker's processor time": figure(
+        metrics = {
+            "a real broker's processor time": metric(
                 100 * median_s / usage.duration_s, "% of a core"
             ),
-            "a real broker's processor time, largest": figure(
+            "a real broker's processor time, largest": metric(
                 100 * max(used_s) / usage.duration_s, "% of a core"
             ),
-            "a real broker's control bytes": figure(
+            "a real broker's control bytes": metric(
                 sent_bytes / usage.duration_s / BYTES_PER_KB, "KB/s"
             ),
-            "a real broker's memory, largest": figure(self._fleet.memory_max_mb(), "MB"),
+            "a real broker's memory, largest": metric(self._fleet.memory_max_mb(), "MB"),
         }
         if self._phase.burst_entries:
-            found["a real broker's processor time in all"] = figure(median_s, "s")
-        return found
+            metrics["a real broker's processor time in all"] = metric(median_s, "s")
+        return metrics
 
-    def _change_figures(self, delays_s: Sequence[float]) -> dict[str, Metric]:
+    def _change_metrics(self, delays_s: Sequence[float]) -> dict[str, Metric]:
         if not delays_s:
             return {}
-        known_s = [delay_s for delay_s in delays_s if delay_s < NEVER_S]
+        in_force_s = [delay_s for delay_s in delays_s if delay_s < NEVER_S]
         name = f"not in force after {SETTLE_TIMEOUT_S:g} s"
-        found = {name: figure(len(delays_s) - len(known_s), "changes")}
-        return found | quantile_figures("in force", known_s, "s")
+        metrics = {name: metric(len(delays_s) - len(in_force_s), "changes")}
+        return metrics | quantile_metrics("in force", in_force_s, "s")
 
-    def _statement_figures(self, usage: PhaseUsage) -> dict[str, Metric]:
+    def _statement_metrics(self, usage: PhaseUsage) -> dict[str, Metric]:
         fleet = self._fleet
         count = usage.statement_count * self._real.brokers
-        found = {
-            "statements": figure(count, "statements"),
-            "statements served": figure(fleet.outcomes["served"], "statements"),
+        metrics = {
+            "statements": metric(count, "statements"),
+            "statements served": metric(fleet.outcomes["served"], "statements"),
         }
         if fleet.latencies_ms:
             for label in ("50th", "99th"):
                 latency_ms = quantile(fleet.latencies_ms, QUANTILES[label])
-                found[f"answered after, {label}"] = figure(latency_ms, "ms")
-        return found
+                metrics[f"answered after, {label}"] = metric(latency_ms, "ms")
+        return metrics
 
 
 def _delays_s(report: DiscoveryReport, first_revision: int) -> list[float]:
     """Return how long each change took to come into force at each broker."""
     revisions = range(first_revision, len(report.changed_at_s) + 1)
     return [
-        known_at_s.get(revision, NEVER_S) - report.changed_at_s[revision - 1]
-        for known_at_s in report.known_at_s.values()
+        acknowledged_at_s.get(revision, NEVER_S) - report.changed_at_s[revision - 1]
+        for acknowledged_at_s in report.acknowledged_at_s.values()
         for revision in revisions
     ]
--- a/umberusher/scale/real_discovery.py
+++ b/umberusher/scale/real_discovery.py
@@ -50,7 +50,7 @@
         changed_at_s: When the change of each revision was made, from revision 1 on.
     """
 
-    known_at_s: dict[str, dict[int, float]]
+    acknowledged_at_s: dict[str, dict[int, float]]
     broker_bytes: dict[str, int]
     changed_at_s: list[float]
 
@@ -63,18 +63,18 @@
 class _AcknowledgementRecorder:
     """Records when each broker's poll first said that it knows a revision."""
 
-    __slots__ = ("_loop", "_revisions", "known_at_s")
+    __slots__ = ("_loop", "_revisions", "acknowledged_at_s")
 
     def __init__(self, loop: Loop, brokers: Sequence[str]) -> None:
         self._loop = loop
         self._revisions = dict.fromkeys(brokers, 0)
-        self.known_at_s: dict[str, dict[int, float]] = {broker: {} for broker in brokers}
+        self.acknowledged_at_s: dict[str, dict[int, float]] = {broker: {} for broker in brokers}
 
     def polled(self, broker: str, revision: int) -> None:
         """Record the revisions that are new with a broker's poll."""
         now_s = self._loop.clock()
         for known in range(self._revisions[broker] + 1, revision + 1):
-            self.known_at_s[broker][known] = now_s
+            self.acknowledged_at_s[broker][known] = now_s
         self._revisions[broker] = max(self._revisions[broker], revision)
 
     def notified(self, broker: str, revision: int) -> None:
@@ -107,7 +107,9 @@
                     service.advance(region, revision)
             elif isinstance(message, ReportRequest):
                 changed_at_s = [update.changed_at_s for update in history.updates]
-                pipe.send(DiscoveryReport(recorder.known_at_s, service.broker_bytes, changed_at_s))
+                pipe.send(
+                    DiscoveryReport(recorder.acknowledged_at_s, service.broker_bytes, changed_at_s)
+                )
             else:
                 running = False
     service.close()
--- a/umberusher/scale/real_fleet.py
+++ b/umberusher/scale/real_fleet.py
@@ -21,7 +21,7 @@
 from umberusher.net.loop import Loop
 from umberusher.replay import site
 from umberusher.scale.broker_settings import ORDINARY_TYPE, zone_name
-from umberusher.scale.figures import Metric, figure
+from umberusher.scale.figures import Metric, metric
 from umberusher.scale.plan import FleetSize
 from umberusher.scale.process_usage import private_memory_mb, processor_time_s
 from umberusher.scale.real_discovery import broker_names
@@ -151,13 +151,13 @@
             return len(ready_after_s) == self._broker_count
 
         self.run_until(all_ready, READY_TIMEOUT_S)
-        found = {"real brokers ready": figure(len(ready_after_s), "brokers")}
+        metrics = {"real brokers ready": metric(len(ready_after_s), "brokers")}
         if ready_after_s:
             slowest_s = max(ready_after_s.values())
-            found["real broker ready after, largest"] = figure(slowest_s, "s")
+            metrics["real broker ready after, largest"] = metric(slowest_s, "s")
             median_cpu_s = statistics.median(self.processor_times_s())
-            found["real broker, processor time until ready"] = figure(median_cpu_s, "s")
-        return found
+            metrics["real broker, processor time until ready"] = metric(median_cpu_s, "s")
+        return metrics
 
     def processor_times_s(self) -> list[float]:
         """Return the processor time of each broker."""
@@ -172,7 +172,7 @@
         self.outcomes.clear()
         self.latencies_ms.clear()
 
-    def submit_everywhere(self) -> None:
+    def submit_to_all(self) -> None:
         """Submit one statement to each broker."""
         for clients in self._clients:
             self._submit(clients)
@@ -183,7 +183,7 @@
         request = f"{number:016x}"
         started_s = time.perf_counter()
 
-        def done(outcome: str, _answer: object) -> None:
+        def record_outcome(outcome: str, _answer: object) -> None:
             self.outcomes[outcome] += 1
             self.latencies_ms.append((time.perf_counter() - started_s) * 1e3)
 
@@ -202,7 +202,7 @@
             False,
             request[-8:],
         )
-        clients.send(Call(request, fields, body, STATEMENT_BUDGET_MS, done))
+        clients.send(Call(request, fields, body, STATEMENT_BUDGET_MS, record_outcome))
 
     def close(self) -> None:
         """Stop the brokers and close the stand-ins."""
--- a/umberusher/scale/record.py
+++ b/umberusher/scale/record.py
@@ -67,7 +67,7 @@
     name: str,
     plan: Plan,
     command: str,
-    figures: Mapping[str, Metric],
+    metrics: Mapping[str, Metric],
     headline: HeadlineMetric,
     details: Mapping[str, Any],
 ) -> dict[str, Any]:
@@ -77,7 +77,7 @@
         name: The measurement's name.
         plan: What was played.
         command: The command that plays it again.
-        figures: All figures by name.
+        metrics: All metrics by name.
         headline: The figure that stands for the run.
         details: Further fields of a scale run.
     """
@@ -101,6 +101,6 @@
         "fit": None,
         "plan": plan.name,
         "seed": plan.size.seed,
-        "figures": figures,
+        "figures": metrics,
         **details,
     }
--- a/umberusher/scale/run.py
+++ b/umberusher/scale/run.py
@@ -14,18 +14,18 @@
 from multiprocessing.connection import Connection, wait
 from multiprocessing.process import BaseProcess
 
-from umberusher.scale.descriptors import allow_descriptors
+from umberusher.scale.descriptors import ensure_descriptor_limit
 from umberusher.scale.figures import Metric, digest
 from umberusher.scale.plan import Plan
 from umberusher.scale.process_usage import resident_memory_mb
 from umberusher.scale.scene_counts import SceneCounts, merge
-from umberusher.scale.scene_figures import scene_figures
+from umberusher.scale.scene_figures import scene_metrics
 from umberusher.scale.worker import (
     SceneFinished,
     WorkerFinished,
     WorkerMessage,
     needed_descriptors,
-    work,
+    run_worker,
 )
 
 # How often the bounds are checked.
@@ -70,7 +70,7 @@
         UsageError: The system does not allow the descriptors that a worker needs.
     """
     workers = min(plan.size.workers, plan.size.brokers)
-    allow_descriptors(needed_descriptors(plan.size))
+    ensure_descriptor_limit(needed_descriptors(plan.size))
     pool = WorkerPool(plan, workers, on_scene)
     try:
         pool.run()
@@ -79,7 +79,7 @@
     finally:
         pool.stop()
     played = [scene.name for scene in plan.scenes if scene.name in pool.counts]
-    scenes = {name: scene_figures(pool.counts[name]) for name in played}
+    scenes = {name: scene_metrics(pool.counts[name]) for name in played}
     return RunResult(
         scenes=scenes,
         counts=pool.counts,
@@ -108,7 +108,9 @@
         self._processes: list[BaseProcess] = []
         # The open pipes, with the number of the worker that writes to each.
         self._pipes: dict[Connection, int] = {}
-        self._parts: dict[str, list[SceneCounts]] = {scene.name: [] for scene in plan.scenes}
+        self._worker_counts: dict[str, list[SceneCounts]] = {
+            scene.name: [] for scene in plan.scenes
+        }
         self._memory_max_mb = 0.0
         self.counts: dict[str, SceneCounts] = {}
         self.stop_reason = ""
@@ -127,7 +129,7 @@
         for worker in range(self._worker_count):
             source, sink = context.Pipe(duplex=False)
             process = context.Process(
-                target=work, args=(sink, self._plan, worker, self._worker_count), daemon=True
+                target=run_worker, args=(sink, self._plan, worker, self._worker_count), daemon=True
             )
             self._processes.append(process)
             process.start()
@@ -141,19 +143,19 @@
         except EOFError:
             message = WorkerFinished(f"worker {self._pipes[pipe]} ended by itself")
         if isinstance(message, SceneFinished):
-            self._add_part(message)
+            self._add_worker_counts(message)
             return
         del self._pipes[pipe]
         if message.error:
             self.stop_reason = message.error
 
-    def _add_part(self, message: SceneFinished) -> None:
-        parts = self._parts[message.scene]
-        parts.append(message.counts)
-        if len(parts) < self._worker_count:
+    def _add_worker_counts(self, message: SceneFinished) -> None:
+        worker_counts = self._worker_counts[message.scene]
+        worker_counts.append(message.counts)
+        if len(worker_counts) < self._worker_count:
             return
-        merged = merge(parts)
-        parts.clear()
+        merged = merge(worker_counts)
+        worker_counts.clear()
         self.counts[message.scene] = merged
         if self._on_scene is not None:
             self._on_scene(message.scene, merged)
--- a/umberusher/scale/scene_counts.py
+++ b/umberusher/scale/scene_counts.py
@@ -118,49 +118,52 @@
             self.slowest_us[revision] = delay_us
 
 
-def merge(parts: Sequence[SceneCounts]) -> SceneCounts:
+def merge(counts_by_worker: Sequence[SceneCounts]) -> SceneCounts:
     """Return the counts of all workers together.
 
     Raises:
         ValueError: The workers have not played the same script.
     """
-    first = parts[0]
+    first = counts_by_worker[0]
     total = SceneCounts(duration_s=first.duration_s, serving_engines=first.serving_engines)
-    for part in parts:
-        if part.serving_engines != first.serving_engines or part.duration_s != first.duration_s:
+    for worker_counts in counts_by_worker:
+        if (
+            worker_counts.serving_engines != first.serving_engines
+            or worker_counts.duration_s != first.duration_s
+        ):
             raise ValueError("workers have not played the same script")
-        _merge_fields(total, part)
-        _merge_mappings(total, part)
-        _merge_seconds(total.outcomes_by_second, part.outcomes_by_second)
+        _merge_fields(total, worker_counts)
+        _merge_mappings(total, worker_counts)
+        _merge_seconds(total.outcomes_by_second, worker_counts.outcomes_by_second)
     return total
 
 
-def _merge_fields(total: SceneCounts, part: SceneCounts) -> None:
+def _merge_fields(total: SceneCounts, worker_counts: SceneCounts) -> None:
     for name in SUMMED_FIELDS:
-        setattr(total, name, getattr(total, name) + getattr(part, name))
-    if part.not_notified is not None:
-        total.not_notified = (total.not_notified or 0) + part.not_notified
+        setattr(total, name, getattr(total, name) + getattr(worker_counts, name))
+    if worker_counts.not_notified is not None:
+        total.not_notified = (total.not_notified or 0) + worker_counts.not_notified
     for name in COUNTER_FIELDS:
-        getattr(total, name).update(getattr(part, name))
+        getattr(total, name).update(getattr(worker_counts, name))
     for name in LIST_FIELDS:
-        getattr(total, name).extend(getattr(part, name))
+        getattr(total, name).extend(getattr(worker_counts, name))
     for name in ARRAY_FIELDS:
         sums = getattr(total, name)
-        counts = getattr(part, name)
+        counts = getattr(worker_counts, name)
         setattr(total, name, array("L", map(int.__add__, sums, counts)) if sums else counts[:])
 
 
-def _merge_mappings(total: SceneCounts, part: SceneCounts) -> None:
-    for revision, slowest_us in part.slowest_us.items():
+def _merge_mappings(total: SceneCounts, worker_counts: SceneCounts) -> None:
+    for revision, slowest_us in worker_counts.slowest_us.items():
         total.slowest_us[revision] = max(total.slowest_us.get(revision, 0), slowest_us)
-    for key, traffic in part.machine_traffic.items():
+    for key, traffic in worker_counts.machine_traffic.items():
         total.machine_traffic[key] = total.machine_traffic.get(key, MachineTraffic()) + traffic
-    for kind, count in part.largest_state_counts.items():
+    for kind, count in worker_counts.largest_state_counts.items():
         total.largest_state_counts[kind] = max(total.largest_state_counts.get(kind, 0), count)
 
 
-def _merge_seconds(total: list[Counter[str]], part: list[Counter[str]]) -> None:
-    for second, counts in enumerate(part):
+def _merge_seconds(total: list[Counter[str]], worker_counts: list[Counter[str]]) -> None:
+    for second, counts in enumerate(worker_counts):
         if second == len(total):
             total.append(Counter())
         total[second].update(counts)
--- a/umberusher/scale/scene_figures.py
+++ b/umberusher/scale/scene_figures.py
@@ -7,7 +7,7 @@
 from operator import attrgetter
 from typing import NamedTuple
 
-from umberusher.scale.figures import Metric, chance_largest, figure, quantile
+from umberusher.scale.figures import Metric, metric, poisson_largest_over_mean, quantile
 from umberusher.scale.scene_counts import SceneCounts
 from umberusher.simulated_fleet.statement_counts import StatementOutcome
 
@@ -23,7 +23,7 @@
 )
 
 
-class TrafficFigure(NamedTuple):
+class TrafficMetric(NamedTuple):
     """A figure of a control machine's traffic: the field, its name, unit and scale."""
 
     field: str
@@ -32,36 +32,36 @@
     scale: float
 
 
-TRAFFIC_FIGURES = (
-    TrafficFigure("requests", "requests", "requests/s", 1),
-    TrafficFigure("sent_bytes", "bytes", "MB/s", 1e6),
-    TrafficFigure("complete_lists", "whole lists", "lists/s", 1),
+TRAFFIC_METRICS = (
+    TrafficMetric("requests", "requests", "requests/s", 1),
+    TrafficMetric("sent_bytes", "bytes", "MB/s", 1e6),
+    TrafficMetric("complete_lists", "whole lists", "lists/s", 1),
 )
 
 
-def scene_figures(counts: SceneCounts) -> dict[str, Metric]:
+def scene_metrics(counts: SceneCounts) -> dict[str, Metric]:
     """Return the figures of a scene by their names in results."""
     return {
-        "brokers": figure(counts.brokers, "brokers"),
-        "played": figure(counts.duration_s, "s"),
-        **_list_figures(counts),
-        **_control_figures(counts),
-        **_engine_figures(counts),
-        **_statement_figures(counts),
-        **_primary_figures(counts),
+        "brokers": metric(counts.brokers, "brokers"),
+        "played": metric(counts.duration_s, "s"),
+        **_list_metrics(counts),
+        **_control_metrics(counts),
+        **_engine_metrics(counts),
+        **_statement_metrics(counts),
+        **_primary_metrics(counts),
         **{
-            f"held by the broker with most, {kind}": figure(count, kind)
+            f"held by the broker with most, {kind}": metric(count, kind)
             for kind, count in sorted(counts.largest_state_counts.items())
         },
     }
 
 
-def quantile_figures(name: str, values: Sequence[float], unit: str) -> dict[str, Metric]:
+def quantile_metrics(name: str, values: Sequence[float], unit: str) -> dict[str, Metric]:
     """Return the median, the 99th percentile and the largest of some values, if there are any."""
     if not values:
         return {}
     return {
-        f"{name}, {label}": figure(quantile(values, fraction), unit)
+        f"{name}, {label}": metric(quantile(values, fraction), unit)
         for label, fraction in QUANTILES.items()
     }
 
@@ -70,50 +70,51 @@
     return [value / MICROSECONDS for value in values_us]
 
 
-def _list_figures(counts: SceneCounts) -> dict[str, Metric]:
-    found = {"changes": figure(len(counts.slowest_us), "changes")}
-    found |= quantile_figures(
+def _list_metrics(counts: SceneCounts) -> dict[str, Metric]:
+    metrics = {"changes": metric(len(counts.slowest_us), "changes")}
+    metrics |= quantile_metrics(
         "change in force at the last broker", _seconds(list(counts.slowest_us.values())), "s"
     )
     if counts.not_notified is not None:
-        found["brokers without word for the whole time"] = figure(counts.not_notified, "brokers")
-    found |= quantile_figures("start until the first list", _seconds(counts.ready_us), "s")
-    found["brokers not ready"] = figure(counts.not_ready, "brokers")
-    found["brokers behind at the end"] = figure(counts.behind, "brokers")
-    found["brokers whose list differs"] = figure(counts.list_differs, "brokers")
-    return found
+        metrics["brokers without word for the whole time"] = metric(counts.not_notified, "brokers")
+    metrics |= quantile_metrics("start until the first list", _seconds(counts.ready_us), "s")
+    metrics["brokers not ready"] = metric(counts.not_ready, "brokers")
+    metrics["brokers behind at the end"] = metric(counts.behind, "brokers")
+    metrics["brokers whose list differs"] = metric(counts.list_differs, "brokers")
+    return metrics
 
 
-def _control_figures(counts: SceneCounts) -> dict[str, Metric]:
-    found = {}
+def _control_metrics(counts: SceneCounts) -> dict[str, Metric]:
+    metrics = {}
     if counts.control_bytes:
         mean_bytes = sum(counts.control_bytes) / len(counts.control_bytes)
-        found["control bytes of a broker, mean"] = figure(
+        metrics["control bytes of a broker, mean"] = metric(
             mean_bytes / counts.duration_s / BYTES_PER_KB, "KB/s"
         )
-        found["control bytes of a broker, largest"] = figure(
+        metrics["control bytes of a broker, largest"] = metric(
             max(counts.control_bytes) / counts.duration_s / BYTES_PER_KB, "KB/s"
         )
-    for each in TRAFFIC_FIGURES:
-        worst = max(map(attrgetter(each.field), counts.machine_traffic.values()), default=0)
+    for each in TRAFFIC_METRICS:
+        largest = max(map(attrgetter(each.field), counts.machine_traffic.values()), default=0)
         name = f"a control machine at its worst second, {each.name}"
-        found[name] = figure(worst / each.scale, each.unit)
-    return found
+        metrics[name] = metric(largest / each.scale, each.unit)
+    return metrics
 
 
-def _engine_figures(counts: SceneCounts) -> dict[str, Metric]:
+def _engine_metrics(counts: SceneCounts) -> dict[str, Metric]:
     serving = counts.serving_engines
-    found = _per_engine("connections", counts.connections, serving)
-    found |= _per_engine("brokers with it in scope", counts.known_to_brokers, serving)
-    found |= _per_engine("brokers that draw it", counts.in_subset_of_brokers, serving)
-    found |= _per_engine("statements", counts.statements, serving)
-    found["statements an engine, largest over mean by chance alone"] = figure(
-        chance_largest(_mean(_chosen(counts.statements, serving)), len(serving)), "times"
+    metrics = _per_engine("connections", counts.connections, serving)
+    metrics |= _per_engine("brokers with it in scope", counts.known_to_brokers, serving)
+    metrics |= _per_engine("brokers that draw it", counts.in_subset_of_brokers, serving)
+    metrics |= _per_engine("statements", counts.statements, serving)
+    metrics["statements an engine, largest over mean by chance alone"] = metric(
+        poisson_largest_over_mean(_mean(_values_of(counts.statements, serving)), len(serving)),
+        "times",
     )
-    return found
+    return metrics
 
 
-def _chosen(by_engine: array[int], engines: Sequence[int]) -> list[int]:
+def _values_of(by_engine: array[int], engines: Sequence[int]) -> list[int]:
     return [by_engine[number] for number in engines]
 
 
@@ -123,36 +124,36 @@
 
 def _per_engine(name: str, by_engine: array[int], engines: Sequence[int]) -> dict[str, Metric]:
     """Return how evenly something is spread over the engines that serve."""
-    values = _chosen(by_engine, engines)
+    values = _values_of(by_engine, engines)
     mean = _mean(values)
-    found = {f"{name} an engine, mean": figure(mean, name)}
+    metrics = {f"{name} an engine, mean": metric(mean, name)}
     if mean:
-        found[f"{name} an engine, largest"] = figure(max(values), name)
-        found[f"{name} an engine, least"] = figure(min(values), name)
-        found[f"{name} an engine, largest over mean"] = figure(max(values) / mean, "times")
-    return found
+        metrics[f"{name} an engine, largest"] = metric(max(values), name)
+        metrics[f"{name} an engine, least"] = metric(min(values), name)
+        metrics[f"{name} an engine, largest over mean"] = metric(max(values) / mean, "times")
+    return metrics
 
 
-def _statement_figures(counts: SceneCounts) -> dict[str, Metric]:
-    found = {
-        f"statements {outcome}": figure(counts.outcomes[outcome], "statements")
+def _statement_metrics(counts: SceneCounts) -> dict[str, Metric]:
+    metrics = {
+        f"statements {outcome}": metric(counts.outcomes[outcome], "statements")
         for outcome in SHOWN_OUTCOMES
     }
-    found["attempts"] = figure(counts.attempts, "attempts")
+    metrics["attempts"] = metric(counts.attempts, "attempts")
     for outcome, count in sorted(counts.attempt_outcomes.items()):
-        found[f"attempts that ended: {outcome}"] = figure(count, "attempts")
-    found["sends stopped by the list"] = figure(counts.not_listed, "attempts")
-    found["attempts to what was told as gone"] = figure(counts.attempts_to_closed, "attempts")
-    found["statements without an end"] = figure(counts.overdue, "statements")
-    found["rules broken"] = figure(counts.violations.total(), "breaches")
-    return found
+        metrics[f"attempts that ended: {outcome}"] = metric(count, "attempts")
+    metrics["sends stopped by the list"] = metric(counts.not_listed, "attempts")
+    metrics["attempts to what was told as gone"] = metric(counts.attempts_to_closed, "attempts")
+    metrics["statements without an end"] = metric(counts.overdue, "statements")
+    metrics["rules broken"] = metric(counts.violations.total(), "breaches")
+    return metrics
 
 
-def _primary_figures(counts: SceneCounts) -> dict[str, Metric]:
+def _primary_metrics(counts: SceneCounts) -> dict[str, Metric]:
     if not counts.switchover_us and not counts.not_switched_over:
         return {}
-    found = quantile_figures(
+    metrics = quantile_metrics(
         "change of primary over at a broker", _seconds(counts.switchover_us), "s"
     )
-    found["brokers where it is not over"] = figure(counts.not_switched_over, "brokers")
-    return found
+    metrics["brokers where it is not over"] = metric(counts.not_switched_over, "brokers")
+    return metrics
--- a/umberusher/scale/scenes/base.py
+++ b/umberusher/scale/scenes/base.py
@@ -7,31 +7,31 @@
 from collections.abc import Callable
 
 from umberusher.scale.plan import ScenePlan
-from umberusher.scale.stage import Stage
+from umberusher.scale.stage import Simulation
 
 # From a scene's start to its first event.
-LEAD_S = 1.0
+SCENE_LEAD_S = 1.0
 # Time without changes at a scene's end: what was changed comes into force within the scene.
-QUIET_S = 15.0
+SETTLE_S = 15.0
 # Between the end of a loss and the ordinary changes after it.
 RECOVERY_S = 1.0
 
 
 class Scene(ABC):
-    """One scene; ``schedule`` puts all of its events on the stage's clock.
+    """One scene; ``schedule`` puts all of its events on the simulation's clock.
 
     Args:
-        stage: The parties.
+        simulation: The brokers, the discovery service and the engines.
         plan: The scene's fields.
     """
 
-    def __init__(self, stage: Stage, plan: ScenePlan) -> None:
-        self.stage = stage
+    def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
+        self.simulation = simulation
         self.plan = plan
         self.fields = plan.fields
         self.duration_s = plan.duration_s
         # Changes end here, in s of the scene.
-        self.changes_end_s = self.duration_s - min(QUIET_S, self.duration_s / 2)
+        self.changes_end_s = self.duration_s - min(SETTLE_S, self.duration_s / 2)
 
     @abstractmethod
     def schedule(self) -> None:
@@ -39,15 +39,15 @@
 
     def at(self, second: float, callback: Callable[[], None]) -> None:
         """Call back at a second of the scene; only valid within ``schedule``."""
-        self.stage.loop.call_later(1000 * second, callback)
+        self.simulation.loop.call_later(1000 * second, callback)
 
     def random_source(self, purpose: str) -> random.Random:
         """Return the scene's random source for one purpose."""
-        return self.stage.random_source(self.plan.name, purpose)
+        return self.simulation.random_source(self.plan.name, purpose)
 
     def schedule_changes(self, rate_per_s: float, from_s: float, until_s: float) -> None:
         """Schedule ordinary changes, equally spaced."""
-        published = self.stage.published
+        published = self.simulation.published
         random_source = self.random_source("changes")
 
         def change() -> None:
@@ -58,7 +58,7 @@
 
     def schedule_changes_after_loss(self, rate_per_s: float, loss_end_s: float) -> None:
         """Schedule ordinary changes from the end of a loss on, if there is time for any."""
-        until_s = self.duration_s - QUIET_S
+        until_s = self.duration_s - SETTLE_S
         from_s = loss_end_s + RECOVERY_S
         if until_s > from_s:
             self.schedule_changes(rate_per_s, from_s, until_s)
@@ -66,4 +66,4 @@
     def publish_backlog(self, rate_per_s: float, duration_s: float) -> None:
         """Publish at once the ordinary changes of a time that is not played."""
         count = round(rate_per_s * max(duration_s, 0))
-        self.stage.published.publish_backlog(count, self.random_source("backlog"))
+        self.simulation.published.publish_backlog(count, self.random_source("backlog"))
--- a/umberusher/scale/scenes/control_losses.py
+++ b/umberusher/scale/scenes/control_losses.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from umberusher.scale.plan import ScenePlan
-from umberusher.scale.scenes.base import LEAD_S, Scene
-from umberusher.scale.stage import Stage
+from umberusher.scale.scenes.base import SCENE_LEAD_S, Scene
+from umberusher.scale.stage import Simulation
 
 
 class ControlLost(Scene):
@@ -13,61 +13,63 @@
     Where all of them are, the changes of the whole loss are published when they come back.
     """
 
-    def __init__(self, stage: Stage, plan: ScenePlan) -> None:
-        super().__init__(stage, plan)
-        self._machines = stage.next_machines(plan.count("machines"))
-        self._all_lost = len(self._machines) == len(stage.service.machines)
+    def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
+        super().__init__(simulation, plan)
+        self._machines = simulation.next_machines(plan.count("machines"))
+        self._all_lost = len(self._machines) == len(simulation.service.machines)
         self._rate_per_s = plan.fields["changes"]
         self._played_s = plan.fields["played"]
 
     def schedule(self) -> None:
         """Schedule the loss, the return, and changes during and after it."""
-        self.schedule_changes(self._rate_per_s, LEAD_S, self._played_s)
-        self.stage.service.own_addresses = bool(self.fields["own_addresses"])
-        self.at(LEAD_S, lambda: self.stage.service.lose_machines(self._machines))
+        self.schedule_changes(self._rate_per_s, SCENE_LEAD_S, self._played_s)
+        self.simulation.service.own_addresses = bool(self.fields["own_addresses"])
+        self.at(SCENE_LEAD_S, lambda: self.simulation.service.lose_machines(self._machines))
         self.at(self._played_s, self._restore)
         self.schedule_changes_after_loss(self._rate_per_s, self._played_s)
 
     def _restore(self) -> None:
-        stage = self.stage
-        stage.recorder.count_not_notified(stage.fleet.running.values())
-        stage.service.own_addresses = False
+        simulation = self.simulation
+        simulation.recorder.count_not_notified(simulation.fleet.running.values())
+        simulation.service.own_addresses = False
         if self._all_lost:
-            stage.recorder.reconnected_at_s = [stage.loop.now] * stage.plan.size.regions
+            simulation.recorder.reconnected_at_s = [
+                simulation.loop.now
+            ] * simulation.plan.size.regions
             self.publish_backlog(self._rate_per_s, self.fields["lost_for"] - self._played_s)
-        stage.service.restore_machines(self._machines)
+        simulation.service.restore_machines(self._machines)
 
 
 class RegionsApart(Scene):
     """Nothing passes between regions, and only the first one can number changes."""
 
-    def __init__(self, stage: Stage, plan: ScenePlan) -> None:
-        super().__init__(stage, plan)
-        self._other_regions = set(range(1, stage.plan.size.regions))
+    def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
+        super().__init__(simulation, plan)
+        self._other_regions = set(range(1, simulation.plan.size.regions))
         self._rate_per_s = plan.fields["changes"]
         self._played_s = plan.fields["played"]
 
     def schedule(self) -> None:
         """Schedule the parting, the return, and changes during and after it."""
-        self.at(LEAD_S, self._separate)
+        self.at(SCENE_LEAD_S, self._separate)
         # Only the first region's share of the changes can be made.
-        region_rate_per_s = self._rate_per_s / self.stage.plan.size.regions
-        self.schedule_changes(region_rate_per_s, LEAD_S, self._played_s)
+        region_rate_per_s = self._rate_per_s / self.simulation.plan.size.regions
+        self.schedule_changes(region_rate_per_s, SCENE_LEAD_S, self._played_s)
         self.at(self._played_s, self._join)
         self.schedule_changes_after_loss(self._rate_per_s, self._played_s)
 
     def _separate(self) -> None:
-        regions = range(self.stage.plan.size.regions)
-        self.stage.service.isolated_regions |= self._other_regions
-        self.stage.engines.cut_regions = {
+        regions = range(self.simulation.plan.size.regions)
+        self.simulation.service.isolated_regions |= self._other_regions
+        self.simulation.engines.partitioned_regions = {
             (source, target) for source in regions for target in regions if source != target
         }
 
     def _join(self) -> None:
-        stage = self.stage
-        stage.recorder.count_not_notified(stage.fleet.running.values())
-        stage.service.isolated_regions.clear()
-        stage.engines.cut_regions = set()
+        simulation = self.simulation
+        simulation.recorder.count_not_notified(simulation.fleet.running.values())
+        simulation.service.isolated_regions.clear()
+        simulation.engines.partitioned_regions = set()
         for region in self._other_regions:
-            stage.recorder.reconnected_at_s[region] = stage.loop.now
+            simulation.recorder.reconnected_at_s[region] = simulation.loop.now
         self.publish_backlog(self._rate_per_s, self.fields["apart_for"] - self._played_s)
--- a/umberusher/scale/scenes/fleet_losses.py
+++ b/umberusher/scale/scenes/fleet_losses.py
@@ -8,13 +8,13 @@
 from umberusher.scale.broker_settings import ORDINARY_TYPE, zone_name
 from umberusher.scale.endpoint_list import deleted
 from umberusher.scale.plan import ScenePlan
-from umberusher.scale.scenes.base import LEAD_S, Scene
-from umberusher.scale.stage import Stage
+from umberusher.scale.scenes.base import SCENE_LEAD_S, Scene
+from umberusher.scale.stage import Simulation
 from umberusher.simulated_fleet.update_history import EndpointEntry
 
 # When a region's brokers are restarted, and before that the memory of the stopped ones is freed.
-COLLECT_S = 1.5 * LEAD_S
-RESTART_S = 2 * LEAD_S
+GARBAGE_COLLECTION_S = 1.5 * SCENE_LEAD_S
+RESTART_S = 2 * SCENE_LEAD_S
 
 
 class ZoneLost(Scene):
@@ -23,35 +23,35 @@
     The engines that come back are warming up and have new names.
     """
 
-    def __init__(self, stage: Stage, plan: ScenePlan) -> None:
-        super().__init__(stage, plan)
+    def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
+        super().__init__(simulation, plan)
         self._zone = plan.count("zone")
         self._lost_count = 0
 
     def schedule(self) -> None:
         """Schedule the loss, its publication and the return."""
-        self.at(LEAD_S, self._lose)
-        self.at(LEAD_S + self.fields["told_after"], self._publish_loss)
-        self.at(LEAD_S + self.fields["back_after"], self._restore)
+        self.at(SCENE_LEAD_S, self._lose)
+        self.at(SCENE_LEAD_S + self.fields["told_after"], self._publish_loss)
+        self.at(SCENE_LEAD_S + self.fields["back_after"], self._restore)
 
     def _zone_entries(self) -> list[EndpointEntry]:
         name = zone_name(self._zone)
         return [
             entry
-            for entry in self.stage.published.entries.values()
+            for entry in self.simulation.published.entries.values()
             if entry.zone == name and entry.machine_type == ORDINARY_TYPE
         ]
 
     def _lose(self) -> None:
         self._lost_count = len(self._zone_entries())
-        self.stage.engines.lost_zones.add(self._zone)
+        self.simulation.engines.lost_zones.add(self._zone)
 
     def _publish_loss(self) -> None:
-        self.stage.published.publish([deleted(entry) for entry in self._zone_entries()])
+        self.simulation.published.publish([deleted(entry) for entry in self._zone_entries()])
 
     def _restore(self) -> None:
-        published = self.stage.published
-        self.stage.engines.lost_zones.discard(self._zone)
+        published = self.simulation.published
+        self.simulation.engines.lost_zones.discard(self._zone)
         published.publish(
             [
                 published.entry(f"{self.plan.name}-{number}", self._zone, age_ms=0.0)
@@ -65,24 +65,24 @@
 
     def schedule(self) -> None:
         """Schedule stops and starts, and ordinary changes."""
-        fleet = self.stage.fleet
+        fleet = self.simulation.fleet
         region = self.plan.count("region")
         positions = [
             position for position in fleet.positions if fleet.region_of(position) == region
         ]
         fleet.incarnation += 1
         for position in positions:
-            self.at(LEAD_S, self._stop(position))
-        self.at(COLLECT_S, _collect_garbage)
+            self.at(SCENE_LEAD_S, self._stop(position))
+        self.at(GARBAGE_COLLECTION_S, _collect_garbage)
         for position in positions:
             self.at(RESTART_S, self._start(position))
-        self.schedule_changes(self.fields["changes"], LEAD_S, self.changes_end_s)
+        self.schedule_changes(self.fields["changes"], SCENE_LEAD_S, self.changes_end_s)
 
     def _stop(self, position: int) -> Callable[[], None]:
-        return lambda: self.stage.fleet.stop(position)
+        return lambda: self.simulation.fleet.stop(position)
 
     def _start(self, position: int) -> Callable[[], None]:
-        return lambda: self.stage.fleet.start(position)
+        return lambda: self.simulation.fleet.start(position)
 
 
 def _collect_garbage() -> None:
--- a/umberusher/scale/scenes/list_changes.py
+++ b/umberusher/scale/scenes/list_changes.py
@@ -9,14 +9,14 @@
 from umberusher.scale.draws import draw
 from umberusher.scale.endpoint_list import deleted, draw_weight
 from umberusher.scale.plan import ScenePlan
-from umberusher.scale.scenes.base import LEAD_S, QUIET_S, Scene
-from umberusher.scale.stage import Stage, primary_name
+from umberusher.scale.scenes.base import SCENE_LEAD_S, SETTLE_S, Scene
+from umberusher.scale.stage import Simulation, primary_name
 from umberusher.simulated_fleet.update_history import EndpointEntry, EntryState
 
 # Within which all brokers start.
 START_SPREAD_S = 2.0
 # Of a scene that is too short for quiet time: from the lead to the last burst.
-BURSTS_MIN_S = 0.1
+BURST_PERIOD_MIN_S = 0.1
 # Between the two updates that name engines twice.
 REPEAT_INTERVAL_S = 2.0
 
@@ -26,19 +26,19 @@
 
     def schedule(self) -> None:
         """Publish the list and schedule the starts."""
-        published = self.stage.published
-        size = self.stage.plan.size
+        published = self.simulation.published
+        size = self.simulation.plan.size
         entries = [
             published.entry(f"e{number}", number % size.zones) for number in range(size.engines)
         ]
         entries.append(published.entry(primary_name(0), 0, machine_type=PRIMARY_TYPE))
         published.publish(entries, complete=True)
-        for position in self.stage.fleet.positions:
+        for position in self.simulation.fleet.positions:
             delay_s = START_SPREAD_S * draw(size.seed, f"start/{position}")
-            self.at(LEAD_S + delay_s, self._start(position))
+            self.at(SCENE_LEAD_S + delay_s, self._start(position))
 
     def _start(self, position: int) -> Callable[[], None]:
-        return lambda: self.stage.fleet.start(position)
+        return lambda: self.simulation.fleet.start(position)
 
 
 class OrdinaryChanges(Scene):
@@ -46,25 +46,25 @@
 
     def schedule(self) -> None:
         """Schedule the changes."""
-        self.schedule_changes(self.fields["changes"], LEAD_S, self.changes_end_s)
+        self.schedule_changes(self.fields["changes"], SCENE_LEAD_S, self.changes_end_s)
 
 
 class UpdateBursts(Scene):
     """Thousands of engines get another weight in one update, again and again."""
 
-    def __init__(self, stage: Stage, plan: ScenePlan) -> None:
-        super().__init__(stage, plan)
+    def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
+        super().__init__(simulation, plan)
         self._random = self.random_source("lumps")
 
     def schedule(self) -> None:
         """Schedule the bursts."""
-        second = LEAD_S
-        while second < max(self.duration_s - QUIET_S, LEAD_S + BURSTS_MIN_S):
+        second = SCENE_LEAD_S
+        while second < max(self.duration_s - SETTLE_S, SCENE_LEAD_S + BURST_PERIOD_MIN_S):
             self.at(second, self._burst)
             second += self.fields["every"]
 
     def _burst(self) -> None:
-        published = self.stage.published
+        published = self.simulation.published
         count = min(self.plan.count("entries"), len(published.names))
         chosen = self._random.sample(published.names, count)
         published.publish(
@@ -75,13 +75,13 @@
 class EngineChurn(Scene):
     """Thousands of engines come, and go when the next ones come."""
 
-    def __init__(self, stage: Stage, plan: ScenePlan) -> None:
-        super().__init__(stage, plan)
+    def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
+        super().__init__(simulation, plan)
         self._listed: list[EndpointEntry] = []
 
     def schedule(self) -> None:
         """Schedule the replacements, and the deletion of the last engines."""
-        second = LEAD_S
+        second = SCENE_LEAD_S
         number = 0
         while second < self.changes_end_s:
             self.at(second, self._replace(number))
@@ -93,32 +93,32 @@
         return lambda: self._publish(self._new_entries(number))
 
     def _new_entries(self, number: int) -> list[EndpointEntry]:
-        zones = self.stage.plan.size.zones
+        zones = self.simulation.plan.size.zones
         return [
-            self.stage.published.entry(f"{self.plan.name}{number}-{index}", index % zones)
+            self.simulation.published.entry(f"{self.plan.name}{number}-{index}", index % zones)
             for index in range(self.plan.count("entries"))
         ]
 
     def _publish(self, entries: list[EndpointEntry]) -> None:
         removed = [deleted(entry) for entry in self._listed]
         self._listed = entries
-        self.stage.published.publish(removed + entries)
+        self.simulation.published.publish(removed + entries)
 
 
 class RepeatedEntries(Scene):
     """An update names each of its engines twice, in another state; the last one counts."""
 
-    def __init__(self, stage: Stage, plan: ScenePlan) -> None:
-        super().__init__(stage, plan)
+    def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
+        super().__init__(simulation, plan)
         self._random = self.random_source("twice")
 
     def schedule(self) -> None:
         """Schedule two such updates."""
-        self.at(LEAD_S, lambda: self._publish(EntryState.DRAINING))
-        self.at(LEAD_S + REPEAT_INTERVAL_S, lambda: self._publish(EntryState.DELETED))
+        self.at(SCENE_LEAD_S, lambda: self._publish(EntryState.DRAINING))
+        self.at(SCENE_LEAD_S + REPEAT_INTERVAL_S, lambda: self._publish(EntryState.DELETED))
 
     def _publish(self, first_state: EntryState) -> None:
-        published = self.stage.published
+        published = self.simulation.published
         names = [
             name
             for name in published.names
@@ -144,19 +144,19 @@
 class EmptyList(Scene):
     """A complete list names no engine; later all are listed again."""
 
-    def __init__(self, stage: Stage, plan: ScenePlan) -> None:
-        super().__init__(stage, plan)
+    def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
+        super().__init__(simulation, plan)
         self._before: list[EndpointEntry] = []
 
     def schedule(self) -> None:
         """Schedule both lists."""
-        self.at(LEAD_S, self._empty)
-        self.at(LEAD_S + self.fields["empty_for"], self._restore)
+        self.at(SCENE_LEAD_S, self._empty)
+        self.at(SCENE_LEAD_S + self.fields["empty_for"], self._restore)
 
     def _empty(self) -> None:
-        published = self.stage.published
+        published = self.simulation.published
         self._before = list(published.entries.values())
         published.publish([], complete=True)
 
     def _restore(self) -> None:
-        self.stage.published.publish(self._before, complete=True)
+        self.simulation.published.publish(self._before, complete=True)
--- a/umberusher/scale/stage.py
+++ b/umberusher/scale/stage.py
@@ -71,7 +71,7 @@
         self.statement_served = primary.statement_served
 
 
-class Stage:
+class Simulation:
     """All parties that one worker plays.
 
     Each worker plays the same script from the same seed, on a step clock of its own, and differs
--- a/umberusher/scale/worker.py
+++ b/umberusher/scale/worker.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from multiprocessing.connection import Connection
 
-from umberusher.scale.descriptors import allow_descriptors
+from umberusher.scale.descriptors import ensure_descriptor_limit
 from umberusher.scale.plan import FleetSize, Plan
 from umberusher.scale.scene_counts import SceneCounts
-from umberusher.scale.world import World
+from umberusher.scale.world import SceneRunner
 from umberusher.simulated_fleet.shared_parse import shared_parse
 
 # Descriptors of a worker beside its brokers'.
@@ -43,16 +43,16 @@
     return SPARE_DESCRIPTORS + BROKER_DESCRIPTORS * brokers_per_worker
 
 
-def work(sink: Connection, plan: Plan, worker: int, workers: int) -> None:
+def run_worker(sink: Connection, plan: Plan, worker: int, workers: int) -> None:
     """Play a worker's part of all scenes and send its counts."""
     # Thousands of brokers would log each lost poll.
     logging.getLogger("umberusher").setLevel(logging.CRITICAL)
     try:
-        allow_descriptors(needed_descriptors(plan.size))
+        ensure_descriptor_limit(needed_descriptors(plan.size))
         with shared_parse():
-            world = World(plan, worker, workers)
+            runner = SceneRunner(plan, worker, workers)
             for scene in plan.scenes:
-                sink.send(SceneFinished(scene.name, world.play(scene)))
+                sink.send(SceneFinished(scene.name, runner.play(scene)))
             sink.send(WorkerFinished())
     except BaseException:
         sink.send(WorkerFinished(traceback.format_exc()))
--- a/umberusher/scale/world.py
+++ b/umberusher/scale/world.py
@@ -8,10 +8,10 @@
 from umberusher.scale.process_usage import resident_memory_mb
 from umberusher.scale.scene_counts import SceneCounts
 from umberusher.scale.scenes import SCENES
-from umberusher.scale.stage import Stage
+from umberusher.scale.stage import Simulation
 
 
-class World:
+class SceneRunner:
     """One worker's part of a run.
 
     Args:
@@ -20,34 +20,34 @@
         workers: How many workers play the run.
     """
 
-    __slots__ = ("stage",)
+    __slots__ = ("simulation",)
 
     def __init__(self, plan: Plan, worker: int, workers: int) -> None:
         brokers = plan.size.brokers
         positions = range(brokers * worker // workers, brokers * (worker + 1) // workers)
-        self.stage = Stage(plan, positions)
+        self.simulation = Simulation(plan, positions)
 
     def play(self, scene_plan: ScenePlan) -> SceneCounts:
         """Play one scene, from where the last one has ended, and return its counts."""
-        stage = self.stage
-        recorder = stage.recorder
-        loop = stage.loop
+        simulation = self.simulation
+        recorder = simulation.recorder
+        loop = simulation.loop
         end_s = loop.now + scene_plan.duration_s
         cpu_before_s = _cpu_s()
         recorder.begin(scene_plan.duration_s)
-        stage.primary.first_served_s.clear()
-        SCENES[scene_plan.kind](stage, scene_plan).schedule()
+        simulation.primary.first_served_s.clear()
+        SCENES[scene_plan.kind](simulation, scene_plan).schedule()
         recorder.start_sampling()
         while loop.now < end_s:
             loop.step(1000 * (end_s - loop.now))
-        counts = recorder.finish(stage.fleet.running.values(), stage.published)
+        counts = recorder.finish(simulation.fleet.running.values(), simulation.published)
         counts.cpu_s = _cpu_s() - cpu_before_s
         counts.memory_mb = resident_memory_mb("self")
         return counts
 
     def close(self) -> None:
         """Close all descriptors."""
-        self.stage.close()
+        self.simulation.close()
 
 
 def _cpu_s() -> float:
--- a/umberusher/simulated_fleet/discovery_service.py
+++ b/umberusher/simulated_fleet/discovery_service.py
@@ -80,7 +80,7 @@
         # Open connections in the order in which they were accepted.
         self.connections: dict[PollConnection, None] = {}
         # The machine that each broker was connected to last.
-        self._home_machines: dict[str, ControlMachine] = {}
+        self._last_machines: dict[str, ControlMachine] = {}
         self._listeners: dict[str, Listener] = {}
 
     def advance(self, region: int, revision: int) -> None:
@@ -115,8 +115,8 @@
         self, region: int, broker: str, connection_number: int
     ) -> ControlMachine | None:
         """Return the machine that a new connection gets; None if all of the region are lost."""
-        if self.own_addresses and broker in self._home_machines:
-            return self._home_machines[broker]
+        if self.own_addresses and broker in self._last_machines:
+            return self._last_machines[broker]
         available = [
             machine for machine in self.machines if machine.region == region and not machine.lost
         ]
@@ -124,7 +124,7 @@
             return None
         draw = xxhash.xxh3_64_intdigest(f"{broker}/{connection_number}".encode())
         machine = available[draw % len(available)]
-        self._home_machines[broker] = machine
+        self._last_machines[broker] = machine
         return machine
 
     def lose_machines(self, numbers: Sequence[int]) -> None:
--- a/umberusher/simulated_fleet/engines.py
+++ b/umberusher/simulated_fleet/engines.py
@@ -26,11 +26,11 @@
     """
 
     __slots__ = (
-        "cut_regions",
         "in_flight",
         "lost_zones",
         "mean_answer_ms",
         "numbers",
+        "partitioned_regions",
         "region_of_zone",
         "statements",
         "zones",
@@ -48,7 +48,7 @@
         self.statements = array("L")
         self.lost_zones: set[int] = set()
         # Pairs of regions (from, to) between which nothing passes.
-        self.cut_regions: set[tuple[int, int]] = set()
+        self.partitioned_regions: set[tuple[int, int]] = set()
 
     def add(self, engine: str, zone: int) -> None:
         """Add an engine; do nothing if it is known already."""
@@ -63,7 +63,7 @@
         zone = self.zones[number]
         if zone in self.lost_zones:
             return False
-        return (region, self.region_of_zone[zone]) not in self.cut_regions
+        return (region, self.region_of_zone[zone]) not in self.partitioned_regions
 
     def answer_time_ms(self, statement: str, engine: str) -> float:
         """Return how long the engine takes for the statement: exponential about the mean."""
--- a/umberusher/simulated_fleet/rule_checker.py
+++ b/umberusher/simulated_fleet/rule_checker.py
@@ -26,8 +26,8 @@
     """A rule of the broker; the value is its name in results."""
 
     FINAL_ANSWER_ENDS_ATTEMPTS = "answered"
-    ONE_ATTEMPT_OUT = "two out"
-    NO_UNSAFE_REPEAT = "unsafe repeat"
+    ONE_ATTEMPT_AT_A_TIME = "two out"
+    NO_UNSAFE_RETRY = "unsafe repeat"
     KEY_ORDER = "order"
     DRAIN_GRACE = "drain"
     ONE_FINAL_ANSWER = "second answer"
@@ -127,10 +127,10 @@
             return
         if open_request.engine is not None:
             self._report(
-                Rule.ONE_ATTEMPT_OUT, f"{sent} to {engine} while {open_request.engine} has it"
+                Rule.ONE_ATTEMPT_AT_A_TIME, f"{sent} to {engine} while {open_request.engine} has it"
             )
         if open_request.non_idempotent and open_request.may_have_run:
-            self._report(Rule.NO_UNSAFE_REPEAT, f"{sent} to {engine} though it may have run")
+            self._report(Rule.NO_UNSAFE_RETRY, f"{sent} to {engine} though it may have run")
         key = open_request.key
         if key is not None and state.key_queues[key][0] != request:
             self._report(Rule.KEY_ORDER, f"{sent} before an earlier one of {key}")
