--- a/umberusher/scale/__init__.py
+++ b/umberusher/scale/__init__.py
@@ -1,5 +1,5 @@
-"""Scale runs: scenes with thousands of simulated brokers, and figures of real ones beside them.
+"""Scale runs: scenes with thousands of simulated brokers, and measurements of a few real ones.
 
-``plan`` reads what to play, ``world`` plays it in one worker process, ``run`` owns the workers, and
-``real_brokers`` runs a few ``serve`` processes on the wall clock.
+``plan`` reads the plan, ``world`` plays its scenes in one worker process, ``run`` manages the
+workers, and ``real_brokers`` runs a few ``serve`` processes on the wall clock.
 """
--- a/umberusher/scale/broker_fleet.py
+++ b/umberusher/scale/broker_fleet.py
@@ -1,4 +1,4 @@
-"""The simulated brokers of one worker: which run, and their start and stop."""
+"""Starts and stops the simulated brokers of one worker."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
         positions: The positions that this worker plays.
         service: The discovery service that brokers follow.
         engines: The engines that they send to.
-        checker: Checks what they do.
-        counts: Counts what becomes of statements.
+        checker: Checks the brokers' behaviour against the rules.
+        counts: Counts the outcomes of statements.
         observer: Is notified of list updates and served statements.
     """
 
@@ -62,7 +62,7 @@
         self._bursts = StatementBursts(loop, plan.load, plan.size.seed)
         self.running: dict[int, SimulatedBroker] = {}
         self._addresses: dict[int, tuple[str, int]] = {}
-        # How often brokers were restarted: a restarted broker has another seed.
+        # Counts restarts; it is part of a broker's seed, so a restarted broker has another seed.
         self.incarnation = 0
 
     def region_of(self, position: int) -> int:
@@ -91,7 +91,7 @@
         self._bursts.start(broker, position)
 
     def stop(self, position: int) -> None:
-        """Stop the broker at a position, with the statements that are open."""
+        """Stop the broker at a position, which ends the statements that are open."""
         broker = self.running.pop(position)
         broker.close()
         self._counts.outcomes[StatementOutcome.BROKER_STOPPED] += len(broker.statements.open)
--- a/umberusher/scale/broker_settings.py
+++ b/umberusher/scale/broker_settings.py
@@ -15,7 +15,7 @@
 PRIMARY_CLASS = "primary"
 PRIMARY_CORES = 64
 PRIMARY_MEMORY_MB = 65_536.0
-# The class of statements that only the primary takes, in the platform's form.
+# The class of statements that only the primary serves, as the platform's settings write it.
 PRIMARY_CLASS_SETTINGS = {
     "name": PRIMARY_CLASS,
     "aim_ms": 2_000.0,
@@ -36,7 +36,7 @@
 
 
 def zone_number(name: str) -> int:
-    """Return the zone that ``zone_name`` gave this name."""
+    """Return the zone for which ``zone_name`` gave this name."""
     return int(name[1:])
 
 
--- a/umberusher/scale/descriptors.py
+++ b/umberusher/scale/descriptors.py
@@ -8,16 +8,16 @@
 
 
 def ensure_descriptor_limit(required: int) -> None:
-    """Allow this process so many descriptors.
+    """Raise this process's soft limit to the required number of descriptors.
 
     Raises:
-        UsageError: The system does not allow them.
+        UsageError: The hard limit is lower.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and required > hard:
         raise UsageError(
-            f"a worker needs {required:,} descriptors, the system allows {hard:,}: more workers, "
-            "or fewer brokers"
+            f"a worker needs {required:,} descriptors, the system allows {hard:,}: use more "
+            "workers or fewer brokers"
         )
     if soft != resource.RLIM_INFINITY and soft < required:
         resource.setrlimit(resource.RLIMIT_NOFILE, (required, hard))
--- a/umberusher/scale/draws.py
+++ b/umberusher/scale/draws.py
@@ -1,4 +1,4 @@
-"""Draws by hash: the same in whichever worker, and in whichever order, they are made."""
+"""Random numbers drawn by hash, which depend neither on the worker nor on the order of draws."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def hash_label(seed: int, label: str) -> int:
-    """Return a whole number of 64 bits for a label."""
+    """Return the 64-bit hash of a seed and a label."""
     return xxhash.xxh3_64_intdigest(f"{seed}/{label}".encode())
 
 
 def draw(seed: int, label: str) -> float:
-    """Return a number from 0 to 1 for a label."""
+    """Return a number from 0 to 1 for a seed and a label."""
     return hash_label(seed, label) / HASH_RANGE
--- a/umberusher/scale/endpoint_list.py
+++ b/umberusher/scale/endpoint_list.py
@@ -15,9 +15,9 @@
 from umberusher.simulated_fleet.update_history import EndpointEntry, EntryState, UpdateHistory
 from umberusher.standin.clock import StepLoop
 
-# Since when engines are up that are not to be warming up.
+# The age of engines that have finished warming up.
 WARM_ENGINE_AGE_MS = 86_400_000.0
-# Probability that an ordinary change goes on with a replacement that has begun.
+# Probability that an ordinary change continues a replacement that has begun.
 CONTINUE_PROBABILITY = 0.6
 # Probability that it changes an engine's weight; else it begins to replace an engine.
 WEIGHT_CHANGE_PROBABILITY = 0.7
@@ -42,7 +42,7 @@
         loop: The step loop of the worker.
         size: The fleet's size, with seed and propagation time.
         history: Numbers the updates.
-        service: The control machines that learn of the updates.
+        service: The control machines that receive the updates.
         engines: The engines, to which new ones are added.
     """
 
@@ -60,7 +60,7 @@
         self._service = service
         self._engines = engines
         self.entries: dict[str, EndpointEntry] = {}
-        # What comes next of the replacements that have begun.
+        # The remaining steps of the replacements that have begun.
         self._pending_steps: deque[EndpointEntry] = deque()
         self._replacement_count = 0
         self._names: list[str] = []
@@ -68,7 +68,7 @@
 
     @property
     def names(self) -> list[str]:
-        """The listed engines; the list is made anew once for each revision."""
+        """The listed engines; the list is rebuilt once for each revision."""
         if self._names_revision != self._history.revision:
             self._names = list(self.entries)
             self._names_revision = self._history.revision
@@ -95,7 +95,7 @@
         return EndpointEntry(engine, state, zone_name(zone), machine_type, started_ms=started_ms)
 
     def publish(self, entries: Sequence[EndpointEntry], complete: bool = False) -> None:
-        """Number an update now; each region's machines learn of it a little later."""
+        """Number an update now; each region's machines receive it after a propagation delay."""
         for entry in entries:
             self._engines.add(entry.engine, zone_number(entry.zone))
         if complete:
--- a/umberusher/scale/figures.py
+++ b/umberusher/scale/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a run: a value with its unit, and the statistics they are made with."""
+"""Metrics of a run, each a value with its unit, and the statistics behind them."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, TypedDict
 
-DECIMALS = 4  # of a figure
+DECIMALS = 4  # of a metric
 DIGEST_CHARACTERS = 16
-# Above this mean the sum of Poisson probabilities would underflow; there the distribution is
-# normal to well below a thousandth.
+# Above this mean the sum of Poisson probabilities would underflow; there the normal approximation
+# is accurate to well below a thousandth.
 NORMAL_APPROXIMATION_MIN_MEAN = 1e4
 
 
 class Metric(TypedDict):
-    """A value with its unit, as results carry it."""
+    """A value with its unit, as results contain it."""
 
     value: float
     unit: str
 
 
 def metric(value: float, unit: str) -> Metric:
-    """Return a value with its unit, in at most four decimals."""
+    """Return a value with its unit, rounded to four decimals."""
     return {"value": round(value, DECIMALS) if isinstance(value, float) else value, "unit": unit}
 
 
 def quantile(values: Sequence[float], fraction: float) -> float:
-    """Return the value that this fraction of them does not exceed."""
+    """Return the smallest value that at least this fraction of the values does not exceed."""
     ordered = sorted(values)
     return ordered[max(math.ceil(fraction * len(ordered)) - 1, 0)]
 
 
 def poisson_largest_over_mean(mean: float, count: int) -> float:
-    """Return largest over mean that chance alone gives among so many equal shares.
+    """Return the largest over the mean that chance alone gives among ``count`` equal shares.
 
     It is the Poisson quantile at ``1 - 1 / count``.
     """
@@ -44,7 +44,7 @@
         return 1 + math.sqrt(2 * math.log(count)) / math.sqrt(mean)
     wanted_probability = 1 - 1 / count
     log_mean = math.log(mean)
-    # Guards against a wanted probability that rounding keeps the sum from reaching.
+    # Ends the loop if rounding keeps the sum below the wanted probability.
     limit = 20 * mean + 100
     cumulated = 0.0
     number = 0
@@ -56,6 +56,6 @@
 
 
 def digest(scenes: Mapping[str, Any]) -> str:
-    """Return a digest of all figures of the step clock: the same seed gives the same."""
+    """Return a digest of all metrics of the step clock; the same seed gives the same digest."""
     text = json.dumps(scenes, sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_CHARACTERS]
--- a/umberusher/scale/plan.py
+++ b/umberusher/scale/plan.py
@@ -47,7 +47,7 @@
 SCRIPT_VALUES = ("run", "statements", "scenes", "real")
 SCENES_MAX = 40
 ALL_SCENES_MAX_S = 7_200.0  # of all scenes together, on the step clock
-# Fields of scenes that number something, and the field of the size that bounds them.
+# Fields of scenes that hold an index, and the field of the size that bounds each.
 NUMBERED_FIELDS = {"zone": "zones", "region": "regions"}
 
 
@@ -61,7 +61,7 @@
     Attributes:
         memory_max_mb: Memory of all workers together at which the run stops.
         wall_time_max_s: Wall time at which the run stops.
-        propagation_max_s: The longest time until all of a region's control machines have a change.
+        propagation_max_s: The longest time until all control machines of a region have a change.
     """
 
     brokers: int
@@ -139,12 +139,12 @@
 def from_fields(
     section_type: type[PlanSection], fields: Mapping[str, Field], values: Mapping[str, Any]
 ) -> PlanSection:
-    """Return a part of a plan made from the values of its fields."""
+    """Return a section of a plan, created from the values of its fields."""
     return section_type(**{field.attribute: values[name] for name, field in fields.items()})
 
 
 def to_fields(section: FleetSize | StatementLoad, fields: Mapping[str, Field]) -> dict[str, float]:
-    """Return the values of a part of a plan by the fields' names, as results carry them."""
+    """Return the values of a section of a plan by field name, as results contain them."""
     return {name: getattr(section, field.attribute) for name, field in fields.items()}
 
 
@@ -152,7 +152,7 @@
     """Read and check the plan of a file.
 
     Raises:
-        PlanError: The script or one of its values is wrong; one line that names file and field.
+        PlanError: The script or a value is invalid; the message is one line with file and field.
     """
     try:
         script = Script.load(path, prelude=PRELUDE, values=SCRIPT_VALUES)
--- a/umberusher/scale/plan_fields.py
+++ b/umberusher/scale/plan_fields.py
@@ -1,8 +1,8 @@
 """The fields of a scale run's plan: units, bounds and defaults, and how a value is read.
 
-A figure carries its unit: ``ms``, ``s``, ``minutes``, ``hours`` for times, ``per_s`` and
-``per_day`` for rates, ``mb`` and ``gb`` for memory. Counts are plain numbers. Read values are in s,
-in events a second and in MB.
+A value carries its unit: ``ms``, ``s``, ``minutes``, ``hours`` for times, ``per_s`` and
+``per_day`` for rates, ``mb`` and ``gb`` for memory. Counts are plain numbers. They are
+read into s, events a second and MB.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class PlanError(UsageError):
-    """A plan cannot be used; one line that names file and field."""
+    """A plan is invalid; the message is one line that names file and field."""
 
 
 class Quantity(StrEnum):
@@ -165,7 +165,7 @@
 
 
 def format_value(value: object) -> str:
-    """Return a value as a message shows it: with its unit, or cut to a few characters."""
+    """Return a value as a message shows it: with its unit, or truncated to a few characters."""
     if isinstance(value, dict) and "unit" in value:
         return f"{value['unit']}({value['value']})"
     return repr(value)[:SHOWN_VALUE_MAX]
@@ -177,7 +177,7 @@
     """Return the value of each field.
 
     Args:
-        place: Where the fields stand, for messages.
+        place: The position of the fields in the plan, for messages.
         given: The values of the plan.
         fields: The known fields.
 
@@ -207,7 +207,7 @@
 
 
 def _read_value(place: str, quantity: Quantity, value: object) -> float:
-    """Return a figure in the program's unit; raise PlanError if it has another quantity."""
+    """Return a value in the program's unit; raise PlanError if it has another quantity."""
     error = PlanError(f"{place} must be {EXPECTED_VALUES[quantity]}, not {format_value(value)}")
     if quantity is Quantity.COUNT:
         return _read_count(value, error)
--- a/umberusher/scale/plot.py
+++ b/umberusher/scale/plot.py
@@ -28,7 +28,7 @@
 
 def plot_scenes(scenes: Mapping[str, SceneCounts], file_format: str = "svg") -> bytes:
     """Return the plot of all scenes as the bytes of an image file."""
-    # ``plots`` has set matplotlib's backend and its hash salt: the same plot gives the same bytes.
+    # ``plots`` sets matplotlib's backend and its hash salt, so the same plot gives the same bytes.
     size_inches = (WIDTH_INCHES, ROW_HEIGHT_INCHES * max(len(scenes), 1))
     figure = plots.Figure(figsize=size_inches)  # type: ignore[attr-defined]
     rows = figure.subplots(len(scenes), 2, squeeze=False)
@@ -48,7 +48,7 @@
 
 
 def _max_by_second(counts: SceneCounts, field: str) -> list[int]:
-    """Return the traffic of the machine that had most, for each second of the scene."""
+    """Return the traffic of the busiest machine in each second of the scene."""
     traffic_of = attrgetter(field)
     maxima = [0] * int(counts.duration_s)
     for key, traffic in counts.machine_traffic.items():
--- a/umberusher/scale/process_usage.py
+++ b/umberusher/scale/process_usage.py
@@ -8,7 +8,7 @@
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 BYTES_PER_MB = 1e6
-# Places of user and system time in /proc/PID/stat, counted from behind the command's name.
+# Indices of user and system time among the fields of /proc/PID/stat after the command's name.
 USER_TIME_INDEX = 11
 SYSTEM_TIME_INDEX = 12
 
@@ -20,13 +20,13 @@
 
 
 def resident_memory_mb(pid: int | str) -> float:
-    """Return the memory that a process (``"self"``: this one) holds, in MB."""
+    """Return the resident memory of a process (``"self"``: this one) in MB."""
     resident_pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return resident_pages * PAGE_BYTES / BYTES_PER_MB
 
 
 def private_memory_mb(pid: int) -> float:
-    """Return the memory that a process alone holds, in MB."""
+    """Return the resident memory that a process does not share with others, in MB."""
     fields = Path(f"/proc/{pid}/statm").read_text().split()
     resident_pages = int(fields[1])
     shared_pages = int(fields[2])
--- a/umberusher/scale/real_brokers.py
+++ b/umberusher/scale/real_brokers.py
@@ -1,7 +1,7 @@
-"""The wall-clock part of a scale run: what control costs real brokers, and what clients see.
+"""The wall-clock part of a scale run: what discovery costs real brokers, and what clients see.
 
-Owns the phases; ``real_fleet`` has the broker processes, ``real_discovery`` that of the control
-machines.
+This module plays the phases; ``real_fleet`` runs the broker processes, ``real_discovery`` the
+process of the control machines.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from umberusher.scale.real_fleet import SOCKETS, STEP_MS, RealFleet
 from umberusher.scale.scene_figures import QUANTILES, quantile_metrics
 
-# The longest wait until a change is in force, or a statement answered, at a phase's end.
+# The longest wait at a phase's end for changes to come into force and statements to be answered.
 SETTLE_TIMEOUT_S = 5.0
-# What the start has left to do is not counted with the phases.
+# Lets the brokers finish their start before the first phase is measured.
 START_SETTLE_S = 2.0
 STATEMENT_STEP_MS = 2.0  # of the loop, where statements are submitted
 CLIENT_DESCRIPTORS = 512  # of one broker's stand-ins
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """One stretch of the run: what happens in it.
+    """One phase of the run: its duration and its load.
 
     Attributes:
         name: Its name in results.
@@ -84,10 +84,10 @@
 
 
 def play_real(plan: Plan, real: RealBrokersPlan) -> dict[str, Metric]:
-    """Play all phases with real brokers and return the figures."""
+    """Play all phases with real brokers and return the metrics."""
     ensure_descriptor_limit(SOCKETS + 2 * real.brokers * CLIENT_DESCRIPTORS)
     size = plan.size
-    # Before the process of the control machines starts: its first update names the engines.
+    # Created before the process of the control machines, whose first update names the engines.
     fleet = RealFleet(size, real.brokers)
     discovery = DiscoveryProcess(real.brokers, size.regions, size.control_machines)
     try:
@@ -118,7 +118,7 @@
 
 
 class PhasePlayer:
-    """Plays one phase and measures what each broker spends in it.
+    """Plays one phase and measures what each broker uses in it.
 
     Args:
         fleet: The brokers and stand-ins.
@@ -145,7 +145,7 @@
         self._phase = phase
 
     def play(self) -> dict[str, Metric]:
-        """Play the phase and return its figures."""
+        """Play the phase and return its metrics."""
         fleet = self._fleet
         first_revision = self._discovery.revision + 1
         bytes_before = self._discovery.report().broker_bytes
@@ -198,7 +198,7 @@
         )
 
     def _all_acknowledged(self) -> bool:
-        """Return whether each broker has said that it knows the newest revision."""
+        """Return whether each broker has acknowledged the newest revision."""
         newest = self._discovery.revision
         known = self._discovery.report().acknowledged_at_s.values()
         return all(newest in revisions for revisions in known)
--- a/umberusher/scale/real_discovery.py
+++ b/umberusher/scale/real_discovery.py
@@ -1,6 +1,6 @@
-"""The control machines beside real brokers: a process of their own, and the parent's side of it.
+"""The control machines that real brokers poll: their own process, and the parent's handle of it.
 
-A change counts as in force when a broker's next poll says that it knows it.
+A change counts as in force when a broker's next poll acknowledges it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from umberusher.simulated_fleet.discovery_service import SimulatedDiscoveryService
 from umberusher.simulated_fleet.update_history import EndpointEntry, UpdateHistory
 
-STEP_MS = 5.0  # of the process's loop, between looks at the pipe
+STEP_MS = 5.0  # of the process's loop, between two checks of the pipe
 STOP_TIMEOUT_S = 15.0
 
 
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryReport:
-    """What the control machines have seen.
+    """What the control machines have recorded.
 
     Attributes:
-        known_at_s: By broker and revision: when the broker said that it knows it.
+        known_at_s: By broker and revision: when the broker acknowledged it.
         broker_bytes: Bytes to and from each broker.
         changed_at_s: When the change of each revision was made, from revision 1 on.
     """
@@ -56,12 +56,12 @@
 
 
 def broker_names(count: int) -> list[str]:
-    """Return the names of so many real brokers."""
+    """Return the names of ``count`` real brokers."""
     return [f"b{number}" for number in range(count)]
 
 
 class _AcknowledgementRecorder:
-    """Records when each broker's poll first said that it knows a revision."""
+    """Records when each broker's poll first acknowledged a revision."""
 
     __slots__ = ("_loop", "_revisions", "acknowledged_at_s")
 
@@ -71,18 +71,18 @@
         self.acknowledged_at_s: dict[str, dict[int, float]] = {broker: {} for broker in brokers}
 
     def polled(self, broker: str, revision: int) -> None:
-        """Record the revisions that are new with a broker's poll."""
+        """Record the revisions that a broker's poll acknowledges for the first time."""
         now_s = self._loop.clock()
         for known in range(self._revisions[broker] + 1, revision + 1):
             self.acknowledged_at_s[broker][known] = now_s
         self._revisions[broker] = max(self._revisions[broker], revision)
 
     def notified(self, broker: str, revision: int) -> None:
-        """Do nothing: what counts is what a broker says that it knows."""
+        """Do nothing: only a broker's acknowledgement counts."""
 
 
 def _serve(pipe: Connection, broker_count: int, region_count: int, machine_count: int) -> None:
-    """Run the control machines until the parent asks to stop, or is gone."""
+    """Run the control machines until the parent requests a stop or has exited."""
     # An interrupt from the terminal ends the parent, which then ends this process.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     loop = Loop(time.monotonic)
@@ -124,7 +124,7 @@
 
 
 class DiscoveryProcess:
-    """The process of the control machines, as its parent sees it."""
+    """The parent's handle of the process of the control machines."""
 
     __slots__ = ("_pipe", "_process", "addresses", "revision")
 
@@ -152,7 +152,7 @@
         self.revision += 1
 
     def report(self) -> DiscoveryReport:
-        """Return what the control machines have seen until now."""
+        """Return what the control machines have recorded so far."""
         self._pipe.send(ReportRequest())
         report = self._pipe.recv()
         assert isinstance(report, DiscoveryReport)
@@ -160,7 +160,7 @@
 
     def stop(self) -> None:
         """End the process."""
-        # It may have ended by itself.
+        # The process may have exited already.
         with contextlib.suppress(OSError):
             self._pipe.send(StopRequest())
         self._process.join(STOP_TIMEOUT_S)
--- a/umberusher/scale/real_fleet.py
+++ b/umberusher/scale/real_fleet.py
@@ -1,7 +1,7 @@
-"""Real ``serve`` processes with stand-in engines and clients around them.
+"""Real ``serve`` processes with stand-in engines and clients.
 
-A few stand-in engines stand behind all names of the endpoint list. Processor time is each broker's
-own.
+A few stand-in engines serve all names of the endpoint list. Processor time is measured for each
+broker process alone.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from umberusher.standin.machine import MachineShape
 from umberusher.standin.statements import encode_statement
 
-ENGINE_COUNT = 8  # stand-in engines behind all names
+ENGINE_COUNT = 8  # stand-in engines that serve all names
 ENGINE_SHAPE = MachineShape(8, 16_384.0)
 READY_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 15.0
@@ -46,11 +46,11 @@
 STATEMENT_WORK_MS = 2.0
 STATEMENT_MEMORY_MB = 8.0
 STATEMENT_KINDS = 5
-ENGINE_STARTED_MS = 1  # so long ago that none is warming up
+ENGINE_STARTED_MS = 1  # long enough ago that no engine is warming up
 
 
 def ignore_message(*_: object) -> None:
-    """Check nothing: the broker's own wire is checked by ``trace replay``."""
+    """Ignore a message: ``trace replay`` checks the broker's wire protocol."""
 
 
 class RealFleet:
@@ -72,7 +72,7 @@
             for number in range(ENGINE_COUNT)
         ]
         self._submitted_count = 0
-        # What became of statements since ``reset_counts``.
+        # Outcomes of statements since the last ``reset_counts``.
         self.outcomes: Counter[str] = Counter()
         self.latencies_ms: list[float] = []
 
@@ -138,7 +138,7 @@
         self.run_until(lambda: False, duration_s)
 
     def wait_until_ready(self) -> dict[str, Metric]:
-        """Ask each broker whether it is ready, until all are; return how long it took."""
+        """Poll each broker's readiness until all are ready; return how long it took."""
         started_s = time.monotonic()
         ready_after_s: dict[int, float] = {}
 
@@ -164,7 +164,7 @@
         return [processor_time_s(process.pid) for process in self._processes]
 
     def memory_max_mb(self) -> float:
-        """Return the memory of the broker that holds most."""
+        """Return the memory of the broker that uses the most."""
         return max(private_memory_mb(process.pid) for process in self._processes)
 
     def reset_counts(self) -> None:
--- a/umberusher/scale/record.py
+++ b/umberusher/scale/record.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadlineMetric:
-    """The one figure that stands for a run: ``value`` at the size ``size``."""
+    """The one metric that summarizes a run: ``value`` at the size ``size``."""
 
     size: int
     value: float
@@ -30,7 +30,7 @@
 
 
 def _git(*arguments: str) -> str:
-    """Return what git prints, or nothing where that fails."""
+    """Return the output of git, or an empty text if the command fails."""
     try:
         return subprocess.run(
             ["git", *arguments],
@@ -52,7 +52,7 @@
 
 
 def machine() -> dict[str, Any]:
-    """Return what the run ran on."""
+    """Return the hardware and software that the run used."""
     memory_bytes = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
     return {
         "cpu": _processor_name(),
@@ -76,12 +76,12 @@
     Args:
         name: The measurement's name.
         plan: What was played.
-        command: The command that plays it again.
+        command: The command that repeats the run.
         metrics: All metrics by name.
-        headline: The figure that stands for the run.
+        headline: The metric that summarizes the run.
         details: Further fields of a scale run.
     """
-    # Only what the program is made of counts: kept results may be new.
+    # Only the program's files are checked: new result files do not make the checkout dirty.
     changed_files = _git("status", "--porcelain", "--", "umberusher", "deploy")
     return {
         "v": RECORD_VERSION,
--- a/umberusher/scale/recorder.py
+++ b/umberusher/scale/recorder.py
@@ -1,4 +1,4 @@
-"""Records a scene: delays of changes as they come, and everything else at the scene's end."""
+"""Records a scene: delays of changes as they occur, and all other counts at its end."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 # An idle connection lasts for the keepalive less a second.
 IDLE_CONNECTION_MS = 14_000.0
 MICROSECONDS = 1e6  # in a second
-# What is newer than the propagation time, there and back, and this may be on its way.
+# A change newer than twice the propagation time plus this may still be in transit.
 IN_TRANSIT_S = 2.0
 
 
@@ -35,8 +35,8 @@
         history: The published updates.
         service: The discovery service.
         engines: The engines.
-        checker: The rules' checker.
-        statement_counts: What becomes of statements.
+        checker: The rule checker.
+        statement_counts: The outcomes of statements.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self._statement_counts = statement_counts
         self.counts = SceneCounts()
         self._scene_start_s = loop.now
-        # By region: since when it is notified again. Older changes count from then on.
+        # By region: when it last reconnected. The delay of an older change counts from then.
         self.reconnected_at_s = [0.0] * plan.size.regions
 
     def begin(self, duration_s: float) -> None:
@@ -71,18 +71,18 @@
         self._service.reset_counts()
 
     def list_updated(self, broker: SimulatedBroker, before: int, after: int) -> None:
-        """Count how long each change took that has come into force at a broker."""
+        """Record the delay of each change that has come into force at a broker."""
         now_s = self._loop.now
         reconnected_at_s = self.reconnected_at_s[broker.region]
         for revision in range(before + 1, after + 1):
             changed_at_s = self._history.updates[revision - 1].changed_at_s
-            # A broker that started later has the change with its first list.
+            # A broker that started later received the change with its first list.
             if changed_at_s >= broker.started_at_s:
                 delay_s = now_s - max(changed_at_s, reconnected_at_s)
                 self.counts.add_change(revision, round(delay_s * MICROSECONDS))
 
     def start_sampling(self) -> None:
-        """Count what becomes of statements in each second of the scene."""
+        """Count the outcomes of statements in each second of the scene."""
         self._sample(self.counts, Counter())
 
     def _sample(self, counts: SceneCounts, before: Counter[str]) -> None:
@@ -96,9 +96,9 @@
             self._loop.call_later(1000.0, lambda: self._sample(counts, outcomes))
 
     def count_not_notified(self, brokers: Collection[SimulatedBroker]) -> None:
-        """Count brokers that are not notified while something is lost.
+        """Count brokers that received no updates during a loss.
 
-        Counted at the end of the loss: not all of its time is played.
+        They are counted when the loss ends, since only a part of its duration is played.
         """
         in_transit_s = 2 * self._plan.size.propagation_max_s + IN_TRANSIT_S
         limit_s = self._loop.now - in_transit_s
@@ -108,7 +108,7 @@
         )
 
     def finish(self, brokers: Collection[SimulatedBroker], published: PublishedList) -> SceneCounts:
-        """Count what can be seen at the scene's end, and return all counts."""
+        """Count the state at the scene's end, and return all counts."""
         counts = self.counts
         numbers = self._engines.numbers
         counts.brokers = len(brokers)
@@ -173,7 +173,7 @@
         counts.descriptions = checker.descriptions.copy()
 
     def _overdue(self, brokers: Collection[SimulatedBroker]) -> int:
-        """Return the open statements whose client's time is up: none of them will ever end."""
+        """Return the number of open statements past their deadline: none of them will ever end."""
         now_s = self._loop.now
         return sum(
             statement.deadline_timer.due_s < now_s
--- a/umberusher/scale/run.py
+++ b/umberusher/scale/run.py
@@ -1,8 +1,8 @@
-"""The scale run: worker processes, watched, and their counts merged.
+"""Runs the worker processes of a scale run, monitors them and merges their counts.
 
-The pool ends its workers when the run is over, when a worker fails, or when the plan's bounds of
-wall time or memory are passed; scenes that not all workers have finished then count as not run. It
-ends nothing else.
+The pool stops its workers when the run is over, when a worker fails, or when the plan's bounds of
+wall time or memory are exceeded; scenes that not all workers have finished then count as not run.
+It stops no other process.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 # How often the bounds are checked.
 CHECK_INTERVAL_S = 0.5
-# For a worker that is told to end.
+# For a worker to exit after it was terminated.
 STOP_TIMEOUT_S = 5.0
 
 SceneObserver = Callable[[str, SceneCounts], None]
@@ -38,16 +38,16 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """What a run has found.
+    """The result of a run.
 
     Attributes:
-        scenes: The figures of each scene that was played.
+        scenes: The metrics of each scene that was played.
         counts: The counts behind them.
-        digest: Of all figures; the same seed gives the same.
+        digest: A digest of all metrics; the same seed gives the same digest.
         workers: How many workers played.
         not_run: Scenes that were not played to their end.
         stop_reason: Why the run stopped early; empty if it did not.
-        resources: What the run itself took.
+        resources: Wall time, memory and processor time of the run itself.
     """
 
     scenes: dict[str, dict[str, Metric]] = field(default_factory=dict)
@@ -75,7 +75,7 @@
     try:
         pool.run()
     except KeyboardInterrupt:
-        pool.stop_reason = "told to end"
+        pool.stop_reason = "interrupted by a signal"
     finally:
         pool.stop()
     played = [scene.name for scene in plan.scenes if scene.name in pool.counts]
@@ -141,7 +141,9 @@
         try:
             message = pipe.recv()
         except EOFError:
-            message = WorkerFinished(f"worker {self._pipes[pipe]} ended by itself")
+            message = WorkerFinished(
+                f"worker {self._pipes[pipe]} exited before it finished its scenes"
+            )
         if isinstance(message, SceneFinished):
             self._add_worker_counts(message)
             return
@@ -177,12 +179,12 @@
             try:
                 total_mb += resident_memory_mb(process.pid or 0)
             except (OSError, IndexError):
-                # It has just ended.
+                # The process has just exited.
                 continue
         return total_mb
 
     def stop(self) -> None:
-        """End the workers that still run."""
+        """Stop the workers that still run."""
         for process in self._processes:
             if process.is_alive():
                 process.terminate()
@@ -193,7 +195,7 @@
                 process.join()
 
     def resources(self) -> dict[str, Metric]:
-        """Return what the run has taken until now."""
+        """Return the resources that the run has used so far."""
         cpu_s = sum(counts.cpu_s for counts in self.counts.values())
         return {
             "wall": _resource(time.monotonic() - self._started_s, "s"),
--- a/umberusher/scale/scene_counts.py
+++ b/umberusher/scale/scene_counts.py
@@ -1,6 +1,6 @@
-"""What each worker counts of a scene, and how the workers' counts are merged.
+"""The counts of a scene in one worker, and how the counts of all workers are merged.
 
-All of it is whole numbers or largest values, so that neither the order in which workers report nor
+All results are integers or largest values, so that neither the order in which workers report nor
 their number changes a result.
 """
 
@@ -50,32 +50,32 @@
     Attributes:
         duration_s: How long the scene was played.
         brokers: Brokers at its end.
-        slowest_us: By revision: until the change was in force at the last broker.
+        slowest_us: By revision: time until the change was in force at the last broker.
         brokers_applied: By revision: brokers where the change came into force.
-        ready_us: Of brokers that started in the scene: until their first list.
+        ready_us: Of each broker that started in the scene: time until its first list.
         not_ready: Brokers that started and have no list.
-        behind: Brokers that know less at the end than their region's machines.
+        behind: Brokers with an older revision at the end than their region's machines.
         list_differs: Brokers whose list at the end is not as long as the machines'.
         control_bytes: Bytes between each broker and discovery.
         machine_traffic: Traffic of each control machine in each second.
         outcomes: Statements by outcome.
         attempt_outcomes: Attempts by outcome.
         outcomes_by_second: Statements by outcome, for each second.
-        attempts: Attempts that went out.
-        not_listed: Sends that the endpoint list stopped.
+        attempts: Attempts that were sent.
+        not_listed: Attempts that the endpoint list did not allow to be sent.
         attempts_to_closed: Attempts to engines known as draining or deleted.
-        violations: Broken rules.
-        descriptions: Of the first broken rules.
-        overdue: Statements that are open though their client's time is up.
-        serving_engines: Numbers of the engines that serve, alike in all workers.
+        violations: Violations by rule.
+        descriptions: Descriptions of the first violations.
+        overdue: Statements that are open past their deadline.
+        serving_engines: Numbers of the serving engines, the same in all workers.
         statements: Statements received, by engine number.
         connections: Connections, by engine number.
-        known_to_brokers: Brokers whose decisions know the engine.
-        in_subset_of_brokers: Brokers that have it in their subset.
-        largest_state_counts: By kind: how much the broker that holds most has.
-        not_notified: Brokers that were not notified while something was lost; None if nothing was.
-        switchover_us: By broker: from a change of the primary until its keys go on.
-        not_switched_over: Brokers where the change of the primary is not over.
+        known_to_brokers: Brokers whose load balancer knows the engine, by engine number.
+        in_subset_of_brokers: Brokers with the engine in their subset, by engine number.
+        largest_state_counts: By kind of state: the largest count at any broker.
+        not_notified: Brokers that received no updates during a loss; None without a loss.
+        switchover_us: By broker: time from the old primary's drain until the new one serves it.
+        not_switched_over: Brokers that the new primary has not served.
         cpu_s: Processor time of the worker.
         memory_mb: Memory of the worker.
     """
@@ -119,7 +119,7 @@
 
 
 def merge(counts_by_worker: Sequence[SceneCounts]) -> SceneCounts:
-    """Return the counts of all workers together.
+    """Return the merged counts of all workers.
 
     Raises:
         ValueError: The workers have not played the same script.
--- a/umberusher/scale/scene_figures.py
+++ b/umberusher/scale/scene_figures.py
@@ -1,4 +1,4 @@
-"""The figures of one scene, made from its counts."""
+"""The metrics of one scene, computed from its counts."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class TrafficMetric(NamedTuple):
-    """A figure of a control machine's traffic: the field, its name, unit and scale."""
+    """A metric of a control machine's traffic: the field, its name, unit and scale."""
 
     field: str
     name: str
@@ -40,7 +40,7 @@
 
 
 def scene_metrics(counts: SceneCounts) -> dict[str, Metric]:
-    """Return the figures of a scene by their names in results."""
+    """Return the metrics of a scene by their names in results."""
     return {
         "brokers": metric(counts.brokers, "brokers"),
         "played": metric(counts.duration_s, "s"),
@@ -123,7 +123,7 @@
 
 
 def _per_engine(name: str, by_engine: array[int], engines: Sequence[int]) -> dict[str, Metric]:
-    """Return how evenly something is spread over the engines that serve."""
+    """Return how evenly a count is distributed over the serving engines."""
     values = _values_of(by_engine, engines)
     mean = _mean(values)
     metrics = {f"{name} an engine, mean": metric(mean, name)}
--- a/umberusher/scale/scenes/__init__.py
+++ b/umberusher/scale/scenes/__init__.py
@@ -1,4 +1,4 @@
-"""The scenes of a scale run, by the name that a plan gives them."""
+"""The scenes of a scale run, by their names in plans."""
 
 from umberusher.scale.scenes.base import Scene
 from umberusher.scale.scenes.control_losses import ControlLost, RegionsApart
@@ -22,7 +22,7 @@
     "control_lost": ControlLost,
     "regions_apart": RegionsApart,
     "primary_change": PrimaryChange,
-    # Changes one by one, faster than a poll comes back.
+    # Single changes at shorter intervals than a poll's round trip.
     "hail": OrdinaryChanges,
     "ids": EngineChurn,
     "twice": RepeatedEntries,
--- a/umberusher/scale/scenes/base.py
+++ b/umberusher/scale/scenes/base.py
@@ -11,7 +11,7 @@
 
 # From a scene's start to its first event.
 SCENE_LEAD_S = 1.0
-# Time without changes at a scene's end: what was changed comes into force within the scene.
+# Time without changes at a scene's end, so that all changes come into force within the scene.
 SETTLE_S = 15.0
 # Between the end of a loss and the ordinary changes after it.
 RECOVERY_S = 1.0
@@ -64,6 +64,6 @@
             self.schedule_changes(rate_per_s, from_s, until_s)
 
     def publish_backlog(self, rate_per_s: float, duration_s: float) -> None:
-        """Publish at once the ordinary changes of a time that is not played."""
+        """Publish at once the ordinary changes of a period that is not played."""
         count = round(rate_per_s * max(duration_s, 0))
         self.simulation.published.publish_backlog(count, self.random_source("backlog"))
--- a/umberusher/scale/scenes/control_losses.py
+++ b/umberusher/scale/scenes/control_losses.py
@@ -1,4 +1,4 @@
-"""Scenes in which the discovery service is lost in part or in whole."""
+"""Scenes in which the discovery service is lost partly or completely."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class ControlLost(Scene):
     """Control machines are lost.
 
-    Where all of them are, the changes of the whole loss are published when they come back.
+    If all of them are lost, the changes of the whole loss are published when they return.
     """
 
     def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
@@ -41,7 +41,7 @@
 
 
 class RegionsApart(Scene):
-    """Nothing passes between regions, and only the first one can number changes."""
+    """No message passes between regions, and only the first region can publish changes."""
 
     def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
         super().__init__(simulation, plan)
@@ -50,22 +50,22 @@
         self._played_s = plan.fields["played"]
 
     def schedule(self) -> None:
-        """Schedule the parting, the return, and changes during and after it."""
-        self.at(SCENE_LEAD_S, self._separate)
-        # Only the first region's share of the changes can be made.
+        """Schedule the partition, its end, and changes during and after it."""
+        self.at(SCENE_LEAD_S, self._partition)
+        # Only the first region's share of the changes can be published.
         region_rate_per_s = self._rate_per_s / self.simulation.plan.size.regions
         self.schedule_changes(region_rate_per_s, SCENE_LEAD_S, self._played_s)
-        self.at(self._played_s, self._join)
+        self.at(self._played_s, self._reconnect)
         self.schedule_changes_after_loss(self._rate_per_s, self._played_s)
 
-    def _separate(self) -> None:
+    def _partition(self) -> None:
         regions = range(self.simulation.plan.size.regions)
         self.simulation.service.isolated_regions |= self._other_regions
         self.simulation.engines.partitioned_regions = {
             (source, target) for source in regions for target in regions if source != target
         }
 
-    def _join(self) -> None:
+    def _reconnect(self) -> None:
         simulation = self.simulation
         simulation.recorder.count_not_notified(simulation.fleet.running.values())
         simulation.service.isolated_regions.clear()
--- a/umberusher/scale/scenes/fleet_losses.py
+++ b/umberusher/scale/scenes/fleet_losses.py
@@ -1,4 +1,4 @@
-"""Scenes in which engines or brokers are lost and come back."""
+"""Scenes in which engines or brokers are lost and return."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from umberusher.scale.stage import Simulation
 from umberusher.simulated_fleet.update_history import EndpointEntry
 
-# When a region's brokers are restarted, and before that the memory of the stopped ones is freed.
+# A region's brokers restart after the memory of the stopped ones has been freed.
 GARBAGE_COLLECTION_S = 1.5 * SCENE_LEAD_S
 RESTART_S = 2 * SCENE_LEAD_S
 
 
 class ZoneLost(Scene):
-    """All engines of a zone say nothing; discovery tells so later; then they are back, restarted.
+    """All engines of a zone stop responding; discovery deletes them later; then they return.
 
-    The engines that come back are warming up and have new names.
+    The engines that return were restarted: they are warming up and have new names.
     """
 
     def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
--- a/umberusher/scale/scenes/list_changes.py
+++ b/umberusher/scale/scenes/list_changes.py
@@ -13,16 +13,16 @@
 from umberusher.scale.stage import Simulation, primary_name
 from umberusher.simulated_fleet.update_history import EndpointEntry, EntryState
 
-# Within which all brokers start.
+# All brokers start within this time.
 START_SPREAD_S = 2.0
-# Of a scene that is too short for quiet time: from the lead to the last burst.
+# The time for bursts in a scene that is too short to settle afterwards.
 BURST_PERIOD_MIN_S = 0.1
 # Between the two updates that name engines twice.
 REPEAT_INTERVAL_S = 2.0
 
 
 class Start(Scene):
-    """The complete list is there; then all brokers start within two seconds."""
+    """The complete list is published; then all brokers start within two seconds."""
 
     def schedule(self) -> None:
         """Publish the list and schedule the starts."""
@@ -50,7 +50,7 @@
 
 
 class UpdateBursts(Scene):
-    """Thousands of engines get another weight in one update, again and again."""
+    """Updates that each change the weight of thousands of engines, at a fixed interval."""
 
     def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
         super().__init__(simulation, plan)
@@ -73,7 +73,7 @@
 
 
 class EngineChurn(Scene):
-    """Thousands of engines come, and go when the next ones come."""
+    """Thousands of engines are added, and deleted when the next ones are added."""
 
     def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
         super().__init__(simulation, plan)
@@ -106,7 +106,7 @@
 
 
 class RepeatedEntries(Scene):
-    """An update names each of its engines twice, in another state; the last one counts."""
+    """An update names each of its engines twice, in different states; the last one counts."""
 
     def __init__(self, simulation: Simulation, plan: ScenePlan) -> None:
         super().__init__(simulation, plan)
--- a/umberusher/scale/scenes/primary_change.py
+++ b/umberusher/scale/scenes/primary_change.py
@@ -12,9 +12,9 @@
 from umberusher.simulated_fleet.broker import SimulatedBroker
 from umberusher.simulated_fleet.update_history import EntryState
 
-# When the primary drains, and how long before the end no statements are submitted any more.
+# The latest start of the drain, and the time at the scene's end without new statements.
 DRAIN_MAX_S = 10.0
-# From the end of the scene: when it is counted where the change is over.
+# How long before the scene's end the brokers that the new primary has served are counted.
 COUNT_BEFORE_END_S = 0.5
 MICROSECONDS = 1e6  # in a second
 
--- a/umberusher/scale/stage.py
+++ b/umberusher/scale/stage.py
@@ -1,4 +1,4 @@
-"""The parties of a scale run in one worker, wired together: what a scene acts upon."""
+"""The simulated components of one worker, connected with each other, on which scenes act."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from umberusher.simulated_fleet.update_history import UpdateHistory
 from umberusher.standin.clock import StepLoop
 
-# Long answers under way in a process: none takes time on the step clock, but each takes memory.
+# Long answers written at a time in a process: each takes memory, but no time on the step clock.
 LONG_ANSWERS_MAX = 4
 
 
 def primary_name(number: int) -> str:
-    """Return the name of the primary engine of a number."""
+    """Return the name of the primary engine with this number."""
     return f"primary-{number}"
 
 
 class PrimaryTracker:
-    """The engine that is primary, and when it first served each broker after a change."""
+    """Tracks which engine is primary, and when it first served each broker after a change."""
 
     __slots__ = ("_loop", "first_served_s", "number")
 
@@ -45,7 +45,7 @@
 
 
 class CheckerNotifier:
-    """Notifies the rules' checker of what control machines write."""
+    """Notifies the rule checker of the updates that control machines send."""
 
     __slots__ = ("_checker", "_loop")
 
@@ -57,12 +57,12 @@
         """Do nothing: the checker needs no polls."""
 
     def notified(self, broker: str, revision: int) -> None:
-        """Tell the checker that a broker is sent all updates up to ``revision``."""
+        """Notify the checker that a broker is being sent all updates up to ``revision``."""
         self._checker.notified(broker, revision, self._loop.now * 1000.0)
 
 
 class FleetObserver:
-    """Passes what brokers do on to the recorder and to the tracker of the primary."""
+    """Passes events of brokers on to the recorder and to the tracker of the primary."""
 
     __slots__ = ("list_updated", "statement_served")
 
@@ -72,11 +72,11 @@
 
 
 class Simulation:
-    """All parties that one worker plays.
+    """All simulated components of one worker.
 
     Each worker plays the same script from the same seed, on a step clock of its own, and differs
-    from the others only in which brokers it has. Brokers share nothing, so what all workers see
-    adds up to what one would see.
+    from the others only in which brokers it has. Brokers share nothing, so the counts of
+    all workers add up to those of a single worker.
 
     Args:
         plan: The run's plan.
@@ -127,7 +127,7 @@
     def next_machines(self, count: int) -> list[int]:
         """Return the numbers of the control machines that a scene may lose.
 
-        They take turns: a machine that was lost has no brokers afterwards.
+        The machines are chosen in rotation: one that was lost has no brokers afterwards.
         """
         machine_count = len(self.service.machines)
         numbers = [(self._next_lost_machine + offset) % machine_count for offset in range(count)]
--- a/umberusher/scale/statement_bursts.py
+++ b/umberusher/scale/statement_bursts.py
@@ -1,6 +1,6 @@
-"""The script of ordinary statements: short bursts at the full rate.
+"""Submits ordinary statements in short bursts at the full rate.
 
-By the length of a burst and how often it comes, a known share of all statements is played.
+The length and the interval of the bursts determine which share of all statements is played.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
             1000 / self._load.rate_per_s,
             lambda: self._submit_next(broker, random_source, remaining_count - 1),
         )
-        # Clients come once the broker is ready.
+        # Clients submit statements once the broker is ready.
         if broker.balancer.up:
             self._submit(broker, random_source)
 
--- a/umberusher/scale/worker.py
+++ b/umberusher/scale/worker.py
@@ -15,7 +15,7 @@
 
 # Descriptors of a worker beside its brokers'.
 SPARE_DESCRIPTORS = 256
-# Of one broker: its address, both ends of its connection, and both of one that is being closed.
+# Of one broker: its listening socket, both ends of its connection, and both of a closing one.
 BROKER_DESCRIPTORS = 5
 
 
@@ -44,8 +44,8 @@
 
 
 def run_worker(sink: Connection, plan: Plan, worker: int, workers: int) -> None:
-    """Play a worker's part of all scenes and send its counts."""
-    # Thousands of brokers would log each lost poll.
+    """Play all scenes with one worker's brokers and send the counts."""
+    # Otherwise thousands of brokers would log each lost poll.
     logging.getLogger("umberusher").setLevel(logging.CRITICAL)
     try:
         ensure_descriptor_limit(needed_descriptors(plan.size))
--- a/umberusher/scale/world.py
+++ b/umberusher/scale/world.py
@@ -12,7 +12,7 @@
 
 
 class SceneRunner:
-    """One worker's part of a run.
+    """Plays the scenes of a plan with the brokers of one worker.
 
     Args:
         plan: The run's plan.
@@ -28,7 +28,7 @@
         self.simulation = Simulation(plan, positions)
 
     def play(self, scene_plan: ScenePlan) -> SceneCounts:
-        """Play one scene, from where the last one has ended, and return its counts."""
+        """Play one scene, which starts when the previous one has ended, and return its counts."""
         simulation = self.simulation
         recorder = simulation.recorder
         loop = simulation.loop
