--- a/tests/nets/test_scale_run.py
+++ b/tests/nets/test_scale_run.py
@@ -20,7 +20,7 @@
 PLAN = "small_fleet.star"
 TIMEOUT_S = 120.0
 # Fields of the result that don't depend on the program's behaviour, each with the reason why it differs between runs.
-NOT_COMPARED = {
+IGNORED_FIELDS = {
     "at": "the date of the run",
     "commit": "of the checkout that ran",
     "dirty": "whether that checkout was changed",
@@ -31,7 +31,7 @@
 
 def comparable(document: dict[str, Any]) -> dict[str, Any]:
     """Return a result without the fields that are not compared."""
-    return {name: value for name, value in document.items() if name not in NOT_COMPARED}
+    return {name: value for name, value in document.items() if name not in IGNORED_FIELDS}
 
 
 @pytest.fixture(scope="module")
@@ -44,9 +44,9 @@
     folder = tmp_path_factory.mktemp("scale")
     shutil.copy(HERE / PLAN, folder)
     result_file = folder / "scale-fleet.json"
-    line = ["scale", "run", PLAN, "--name", "fleet", "--json", str(result_file)]
+    arguments = ["scale", "run", PLAN, "--name", "fleet", "--json", str(result_file)]
     subprocess.run(
-        [sys.executable, "-m", "umberusher", *line],
+        [sys.executable, "-m", "umberusher", *arguments],
         cwd=folder,
         env=environment(ROOT),
         stdout=subprocess.DEVNULL,
--- a/tests/scale/small_runs.py
+++ b/tests/scale/small_runs.py
@@ -21,7 +21,7 @@
     "stretch": 0.004,
     "every": 4.0,
 }
-# Fields of scenes that make them short.
+# Field values that make scenes short.
 SHORT_VALUES = {
     "lasts": 20.0,
     "entries": 12.0,
@@ -57,7 +57,7 @@
 
 
 def play_here(plan: Plan, workers: int = 1) -> dict[str, SceneCounts]:
-    """Play all scenes by the worlds of so many workers, one after another."""
+    """Play all scenes with the scene runners of ``workers`` workers, one after another."""
     scenes_by_worker = []
     for worker in range(workers):
         with shared_parse():
--- a/tests/scale/test_descriptors.py
+++ b/tests/scale/test_descriptors.py
@@ -1,4 +1,4 @@
-"""The limit of file descriptors."""
+"""Tests that a run is refused when the system allows too few file descriptors."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_figures.py
+++ b/tests/scale/test_figures.py
@@ -1,4 +1,4 @@
-"""The statistics of figures."""
+"""Tests the quantile of values and the largest over the mean that chance alone gives."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_plan.py
+++ b/tests/scale/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans of scale runs: what is read, and the one line for what cannot be."""
+"""Tests that plans are read with their units, and that an invalid plan is rejected in one line."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_real_brokers.py
+++ b/tests/scale/test_real_brokers.py
@@ -1,4 +1,4 @@
-"""The wall-clock part: a real broker on sockets."""
+"""Tests the wall-clock part with one real broker: no change or statement is lost, no process stays."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_run.py
+++ b/tests/scale/test_run.py
@@ -1,4 +1,4 @@
-"""Runs with worker processes: results, bounds and failures."""
+"""Tests runs with worker processes: their results, exceeded bounds and failed workers."""
 
 from __future__ import annotations
 
@@ -42,9 +42,9 @@
 
 
 def test_play_reports_the_error_when_a_worker_fails():
-    result = run.play(small_plan(ScenePlan("unheard", "unheard", {"lasts": 1.0})))
-    assert "KeyError: 'unheard'" in result.stop_reason
-    assert result.not_run[-1] == "unheard"
+    result = run.play(small_plan(ScenePlan("unknown", "unknown", {"lasts": 1.0})))
+    assert "KeyError: 'unknown'" in result.stop_reason
+    assert result.not_run[-1] == "unknown"
     assert not multiprocessing.active_children()
 
 
--- a/tests/scale/test_scene_counts.py
+++ b/tests/scale/test_scene_counts.py
@@ -1,4 +1,4 @@
-"""Counts of workers, merged, and the figures made from them."""
+"""Tests that merged counts and their metrics do not depend on the order of the workers."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_scenes.py
+++ b/tests/scale/test_scenes.py
@@ -1,4 +1,4 @@
-"""The scenes at small sizes: what brokers, engines and clients see of each."""
+"""Tests each scene at a small size: all changes come into force and no rule is violated."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from umberusher.scale.scene_counts import SceneCounts
 from umberusher.scale.scene_figures import scene_metrics
 
-# Within which a change must be in force at the last broker.
+# A change must be in force at the last broker within this time.
 CHANGE_LIMIT_US = 14_000_000
 
 
 def assert_no_rule_violations(counts: SceneCounts) -> None:
-    """Check what holds after every scene."""
+    """Check the conditions that hold after every scene."""
     assert not counts.violations, counts.descriptions
     assert not counts.behind
     assert not counts.list_differs
@@ -104,7 +104,7 @@
 def test_control_loss_stops_updates_only_where_no_machine_remains(
     machines, own_addresses, not_notified
 ):
-    """Six machines, two a region; the first three are one of each."""
+    """There are six machines, two in each region; the first three are in different regions."""
     lost = scene(
         "control_lost", machines=machines, own_addresses=own_addresses, played=12.0, lasts=30.0
     )
@@ -112,14 +112,14 @@
     assert_no_rule_violations(counts)
     assert counts.not_notified == not_notified
     assert set(counts.brokers_applied.values()) == {BROKERS}
-    if own_addresses:  # what was changed meanwhile waits for the machine
+    if own_addresses:  # changes made meanwhile wait for the machine
         assert max(counts.slowest_us.values()) > 10_000_000
     else:
         assert max(counts.slowest_us.values()) <= CHANGE_LIMIT_US
 
 
 def test_repeated_control_loss_selects_machines_that_have_brokers():
-    """A machine that was lost has none afterwards: polls are long, and nothing moves them back."""
+    """A machine that was lost has no brokers afterwards, since long polls do not move back to it."""
     fields = scene("control_lost", played=12.0, lasts=30.0, machines=3.0).fields
     scenes = [
         ScenePlan("control_lost", name, fields | {"own_addresses": float(own_addresses)})
--- a/tests/simulated_fleet/test_region_view.py
+++ b/tests/simulated_fleet/test_region_view.py
@@ -1,4 +1,4 @@
-"""The answers of a region's control machines, as the broker's codec reads them."""
+"""Tests that the broker's codec reads the answers of a region's control machines."""
 
 from __future__ import annotations
 
--- a/tests/simulated_fleet/test_rule_checker.py
+++ b/tests/simulated_fleet/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The checker of a broker's rules."""
+"""Tests that the checker reports each violated rule and allows the grace of a drain."""
 
 from __future__ import annotations
 
--- a/tests/simulated_fleet/test_shared_parse.py
+++ b/tests/simulated_fleet/test_shared_parse.py
@@ -1,4 +1,4 @@
-"""Parsing each answer once for all simulated brokers of a process."""
+"""Tests that parsing each answer once for all brokers of a process changes no result."""
 
 from __future__ import annotations
 
