--- a/umberusher/scale/real_fleet.py
+++ b/umberusher/scale/real_fleet.py
@@ -134,7 +134,7 @@
         return False
 
     def run_for(self, duration_s: float) -> None:
-        """Run the stand-ins for a time."""
+        """Run the stand-ins for a duration."""
         self.run_until(lambda: False, duration_s)
 
     def wait_until_ready(self) -> dict[str, Metric]:
--- a/umberusher/scale/worker.py
+++ b/umberusher/scale/worker.py
@@ -13,7 +13,7 @@
 from umberusher.scale.world import SceneRunner
 from umberusher.simulated_fleet.shared_parse import shared_parse
 
-# Descriptors of a worker beside its brokers'.
+# Descriptors of a worker in addition to those of its brokers.
 SPARE_DESCRIPTORS = 256
 # Of one broker: its listening socket, both ends of its connection, and both of a closing one.
 BROKER_DESCRIPTORS = 5
--- a/umberusher/simulated_fleet/broker.py
+++ b/umberusher/simulated_fleet/broker.py
@@ -160,7 +160,7 @@
         self._observer.list_updated(self, before, self.endpoints.revision)
 
     def post(self, event: Event) -> None:
-        """Hand an event to the load balancer and carry out its actions.
+        """Pass an event to the load balancer and carry out its actions.
 
         An event that arises while actions are carried out is queued: the load balancer is never
         re-entered.
--- a/umberusher/simulated_fleet/client_statements.py
+++ b/umberusher/simulated_fleet/client_statements.py
@@ -57,7 +57,7 @@
 
     Attributes:
         query_class: The class that it was submitted for.
-        deadline_timer: Fires when its client gives up.
+        deadline_timer: Fires at its client's deadline.
         engine: The engine of the attempt in flight.
         attempt: The number of the last attempt.
         started_ms: When that attempt began.
--- a/umberusher/simulated_fleet/discovery_service.py
+++ b/umberusher/simulated_fleet/discovery_service.py
@@ -1,6 +1,6 @@
 """The simulated discovery service: control machines that answer long polls over loopback.
 
-A region's machines stand behind one address: a new connection gets one of those that are up, by
+A region's machines share one address: a new connection gets one of those that are up, by
 hash. With ``own_addresses`` each broker knows one machine's address instead and reconnects to that
 machine. A lost machine stops responding on the connections that it has and on new ones.
 """
--- a/umberusher/simulated_fleet/update_history.py
+++ b/umberusher/simulated_fleet/update_history.py
@@ -1,6 +1,6 @@
 """The numbered history of endpoint updates that the simulated discovery service publishes.
 
-It writes the discovery service's JSON by itself and does not use the broker's codec, so that each
+It writes the discovery service's JSON on its own and does not use the broker's codec, so that each
 side of the connection is checked by an independent implementation.
 """
 
@@ -60,7 +60,7 @@
     Attributes:
         entries: The entries that it names.
         complete: Whether it replaces the whole list.
-        changed_at_s: When the change counts as made, on the run's clock.
+        changed_at_s: The time of the change, on the run's clock.
         json_text: The update in the wire format.
     """
 
@@ -98,7 +98,7 @@
 
         Args:
             entries: What the update names; an engine named twice has the later state.
-            changed_at_s: When the change counts as made.
+            changed_at_s: The time of the change.
             complete: Whether engines that are not named are deleted.
 
         Returns:
