--- a/tests/scale/small_runs.py
+++ b/tests/scale/small_runs.py
@@ -7,7 +7,7 @@
 from umberusher.scale.plan import FleetSize, Plan, ScenePlan, StatementLoad, from_fields
 from umberusher.scale.plan_fields import LOAD_FIELDS, SCENE_FIELDS, SIZE_FIELDS
 from umberusher.scale.scene_counts import SceneCounts, merge
-from umberusher.scale.world import World
+from umberusher.scale.world import SceneRunner
 from umberusher.simulated_fleet.shared_parse import shared_parse
 
 BROKERS = 6
@@ -21,7 +21,7 @@
     "stretch": 0.004,
     "every": 4.0,
 }
-# Fields of scenes that make them short.
+# Field values that make scenes short.
 SHORT_VALUES = {
     "lasts": 20.0,
     "entries": 12.0,
@@ -57,16 +57,16 @@
 
 
 def play_here(plan: Plan, workers: int = 1) -> dict[str, SceneCounts]:
-    """Play all scenes by the worlds of so many workers, one after another."""
-    parts = []
+    """Play all scenes with the scene runners of ``workers`` workers, one after another."""
+    scenes_by_worker = []
     for worker in range(workers):
         with shared_parse():
-            world = World(plan, worker, workers)
-            parts.append([world.play(each) for each in plan.scenes])
-            world.close()
+            runner = SceneRunner(plan, worker, workers)
+            scenes_by_worker.append([runner.play(each) for each in plan.scenes])
+            runner.close()
     return {
         each.name: merge(counts)
-        for each, counts in zip(plan.scenes, zip(*parts, strict=True), strict=True)
+        for each, counts in zip(plan.scenes, zip(*scenes_by_worker, strict=True), strict=True)
     }
 
 
--- a/umberusher/commands/scale_run.py
+++ b/umberusher/commands/scale_run.py
@@ -12,14 +12,14 @@
 from umberusher.commands import tools
 from umberusher.errors import UsageError
 from umberusher.scale import plan as plans
-from umberusher.scale.figures import Figure
+from umberusher.scale.figures import Metric
 from umberusher.scale.plan import Plan
 from umberusher.scale.plan_fields import LOAD_FIELDS, SIZE_FIELDS
-from umberusher.scale.record import HeadlineFigure, record
+from umberusher.scale.record import HeadlineMetric, record
 from umberusher.scale.run import RunResult, play
 from umberusher.scale.scene_counts import SceneCounts
 
-Figures = Mapping[str, Figure]
+Figures = Mapping[str, Metric]
 
 # The name of a scene's figure for its slowest change, and the suffix of such figures of the phases
 # with real brokers.
@@ -108,7 +108,7 @@
     return f"{command} --only {args.only}" if args.only else command
 
 
-def _headline(plan: Plan, scenes: Mapping[str, Figures], real: Figures) -> HeadlineFigure:
+def _headline(plan: Plan, scenes: Mapping[str, Figures], real: Figures) -> HeadlineMetric:
     """Return the slowest change of all scenes, or of the real brokers if there are no scenes."""
     delays_s = [
         figures[SLOWEST_CHANGE]["value"] for figures in scenes.values() if SLOWEST_CHANGE in figures
@@ -117,7 +117,7 @@
         delays_s = [
             each["value"] for name, each in real.items() if name.endswith(REAL_SLOWEST_SUFFIX)
         ]
-    return HeadlineFigure(
+    return HeadlineMetric(
         plan.size.brokers,
         max(delays_s, default=0.0),
         "s",
--- a/umberusher/scale/draws.py
+++ b/umberusher/scale/draws.py
@@ -1,4 +1,4 @@
-"""Draws by hash: the same in whichever worker, and in whichever order, they are made."""
+"""Random numbers drawn by hash, which depend neither on the worker nor on the order of draws."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 HASH_RANGE = 2.0**64
 
 
-def hashed(seed: int, label: str) -> int:
-    """Return a whole number of 64 bits for a label."""
+def hash_label(seed: int, label: str) -> int:
+    """Return the 64-bit hash of a seed and a label."""
     return xxhash.xxh3_64_intdigest(f"{seed}/{label}".encode())
 
 
 def draw(seed: int, label: str) -> float:
-    """Return a number from 0 to 1 for a label."""
-    return hashed(seed, label) / HASH_RANGE
+    """Return a number from 0 to 1 for a seed and a label."""
+    return hash_label(seed, label) / HASH_RANGE
--- a/umberusher/scale/plan_fields.py
+++ b/umberusher/scale/plan_fields.py
@@ -1,8 +1,8 @@
 """The fields of a scale run's plan: units, bounds and defaults, and how a value is read.
 
-A figure carries its unit: ``ms``, ``s``, ``minutes``, ``hours`` for times, ``per_s`` and
-``per_day`` for rates, ``mb`` and ``gb`` for memory. Counts are plain numbers. Read values are in s,
-in events a second and in MB.
+A value carries its unit: ``ms``, ``s``, ``minutes``, ``hours`` for times, ``per_s`` and
+``per_day`` for rates, ``mb`` and ``gb`` for memory. Counts are plain numbers. They are
+read into s, events a second and MB.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class PlanError(UsageError):
-    """A plan cannot be used; one line that names file and field."""
+    """A plan is invalid; the message is one line that names file and field."""
 
 
 class Quantity(StrEnum):
@@ -46,7 +46,7 @@
     "mb": Unit(Quantity.MEMORY, 1.0),
     "gb": Unit(Quantity.MEMORY, 1000.0),
 }
-EXPECTED = {
+EXPECTED_VALUES = {
     Quantity.TIME: "a time, as s(5) or ms(20)",
     Quantity.RATE: "a rate, as per_s(0.57)",
     Quantity.MEMORY: "an amount, as mb(256)",
@@ -164,8 +164,8 @@
 }
 
 
-def shown(value: object) -> str:
-    """Return a value as a message shows it: with its unit, or cut to a few characters."""
+def format_value(value: object) -> str:
+    """Return a value as a message shows it: with its unit, or truncated to a few characters."""
     if isinstance(value, dict) and "unit" in value:
         return f"{value['unit']}({value['value']})"
     return repr(value)[:SHOWN_VALUE_MAX]
@@ -177,7 +177,7 @@
     """Return the value of each field.
 
     Args:
-        place: Where the fields stand, for messages.
+        place: The position of the fields in the plan, for messages.
         given: The values of the plan.
         fields: The known fields.
 
@@ -207,24 +207,24 @@
 
 
 def _read_value(place: str, quantity: Quantity, value: object) -> float:
-    """Return a figure in the program's unit; raise PlanError if it has another quantity."""
-    wrong = PlanError(f"{place} must be {EXPECTED[quantity]}, not {shown(value)}")
+    """Return a value in the program's unit; raise PlanError if it has another quantity."""
+    error = PlanError(f"{place} must be {EXPECTED_VALUES[quantity]}, not {format_value(value)}")
     if quantity is Quantity.COUNT:
-        return _read_count(value, wrong)
+        return _read_count(value, error)
     if not isinstance(value, dict):
-        raise wrong
+        raise error
     unit = UNITS.get(value.get("unit", ""))
     if unit is None or unit.quantity is not quantity:
-        raise wrong
+        raise error
     number = value["value"]
     if isinstance(number, bool) or not isinstance(number, int | float) or not math.isfinite(number):
-        raise wrong
+        raise error
     return number * unit.factor
 
 
-def _read_count(value: object, wrong: PlanError) -> int:
+def _read_count(value: object, error: PlanError) -> int:
     if isinstance(value, float) and math.isfinite(value) and value == int(value):
         return int(value)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise wrong
+        raise error
     return value
--- a/umberusher/scale/real_fleet.py
+++ b/umberusher/scale/real_fleet.py
@@ -1,7 +1,7 @@
-"""Real ``serve`` processes with stand-in engines and clients around them.
+"""Real ``serve`` processes with stand-in engines and clients.
 
-A few stand-in engines stand behind all names of the endpoint list. Processor time is each broker's
-own.
+A few stand-in engines serve all names of the endpoint list. Processor time is measured for each
+broker process alone.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from umberusher.net.loop import Loop
 from umberusher.replay import site
 from umberusher.scale.broker_settings import ORDINARY_TYPE, zone_name
-from umberusher.scale.figures import Figure, figure
+from umberusher.scale.figures import Metric, metric
 from umberusher.scale.plan import FleetSize
 from umberusher.scale.process_usage import private_memory_mb, processor_time_s
 from umberusher.scale.real_discovery import broker_names
@@ -32,7 +32,7 @@
 from umberusher.standin.machine import MachineShape
 from umberusher.standin.statements import encode_statement
 
-ENGINE_COUNT = 8  # stand-in engines behind all names
+ENGINE_COUNT = 8  # stand-in engines that serve all names
 ENGINE_SHAPE = MachineShape(8, 16_384.0)
 READY_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 15.0
@@ -46,11 +46,11 @@
 STATEMENT_WORK_MS = 2.0
 STATEMENT_MEMORY_MB = 8.0
 STATEMENT_KINDS = 5
-ENGINE_STARTED_MS = 1  # so long ago that none is warming up
+ENGINE_STARTED_MS = 1  # long enough ago that no engine is warming up
 
 
 def ignore_message(*_: object) -> None:
-    """Check nothing: the broker's own wire is checked by ``trace replay``."""
+    """Ignore a message: ``trace replay`` checks the broker's wire protocol."""
 
 
 class RealFleet:
@@ -72,7 +72,7 @@
             for number in range(ENGINE_COUNT)
         ]
         self._submitted_count = 0
-        # What became of statements since ``reset_counts``.
+        # Outcomes of statements since the last ``reset_counts``.
         self.outcomes: Counter[str] = Counter()
         self.latencies_ms: list[float] = []
 
@@ -134,11 +134,11 @@
         return False
 
     def run_for(self, duration_s: float) -> None:
-        """Run the stand-ins for a time."""
+        """Run the stand-ins for a duration."""
         self.run_until(lambda: False, duration_s)
 
-    def wait_until_ready(self) -> dict[str, Figure]:
-        """Ask each broker whether it is ready, until all are; return how long it took."""
+    def wait_until_ready(self) -> dict[str, Metric]:
+        """Poll each broker's readiness until all are ready; return how long it took."""
         started_s = time.monotonic()
         ready_after_s: dict[int, float] = {}
 
@@ -151,20 +151,20 @@
             return len(ready_after_s) == self._broker_count
 
         self.run_until(all_ready, READY_TIMEOUT_S)
-        found = {"real brokers ready": figure(len(ready_after_s), "brokers")}
+        metrics = {"real brokers ready": metric(len(ready_after_s), "brokers")}
         if ready_after_s:
             slowest_s = max(ready_after_s.values())
-            found["real broker ready after, largest"] = figure(slowest_s, "s")
+            metrics["real broker ready after, largest"] = metric(slowest_s, "s")
             median_cpu_s = statistics.median(self.processor_times_s())
-            found["real broker, processor time until ready"] = figure(median_cpu_s, "s")
-        return found
+            metrics["real broker, processor time until ready"] = metric(median_cpu_s, "s")
+        return metrics
 
     def processor_times_s(self) -> list[float]:
         """Return the processor time of each broker."""
         return [processor_time_s(process.pid) for process in self._processes]
 
     def memory_max_mb(self) -> float:
-        """Return the memory of the broker that holds most."""
+        """Return the memory of the broker that uses the most."""
         return max(private_memory_mb(process.pid) for process in self._processes)
 
     def reset_counts(self) -> None:
@@ -172,7 +172,7 @@
         self.outcomes.clear()
         self.latencies_ms.clear()
 
-    def submit_everywhere(self) -> None:
+    def submit_to_all(self) -> None:
         """Submit one statement to each broker."""
         for clients in self._clients:
             self._submit(clients)
@@ -183,7 +183,7 @@
         request = f"{number:016x}"
         started_s = time.perf_counter()
 
-        def done(outcome: str, _answer: object) -> None:
+        def record_outcome(outcome: str, _answer: object) -> None:
             self.outcomes[outcome] += 1
             self.latencies_ms.append((time.perf_counter() - started_s) * 1e3)
 
@@ -202,7 +202,7 @@
             False,
             request[-8:],
         )
-        clients.send(Call(request, fields, body, STATEMENT_BUDGET_MS, done))
+        clients.send(Call(request, fields, body, STATEMENT_BUDGET_MS, record_outcome))
 
     def close(self) -> None:
         """Stop the brokers and close the stand-ins."""
--- a/umberusher/scale/run.py
+++ b/umberusher/scale/run.py
@@ -1,8 +1,8 @@
-"""The scale run: worker processes, watched, and their counts merged.
+"""Runs the worker processes of a scale run, monitors them and merges their counts.
 
-The pool ends its workers when the run is over, when a worker fails, or when the plan's bounds of
-wall time or memory are passed; scenes that not all workers have finished then count as not run. It
-ends nothing else.
+The pool stops its workers when the run is over, when a worker fails, or when the plan's bounds of
+wall time or memory are exceeded; scenes that not all workers have finished then count as not run.
+It stops no other process.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from multiprocessing.connection import Connection, wait
 from multiprocessing.process import BaseProcess
 
-from umberusher.scale.descriptors import allow_descriptors
-from umberusher.scale.figures import Figure, digest
+from umberusher.scale.descriptors import ensure_descriptor_limit
+from umberusher.scale.figures import Metric, digest
 from umberusher.scale.plan import Plan
 from umberusher.scale.process_usage import resident_memory_mb
 from umberusher.scale.scene_counts import SceneCounts, merge
-from umberusher.scale.scene_figures import scene_figures
+from umberusher.scale.scene_figures import scene_metrics
 from umberusher.scale.worker import (
     SceneFinished,
     WorkerFinished,
     WorkerMessage,
     needed_descriptors,
-    work,
+    run_worker,
 )
 
 # How often the bounds are checked.
 CHECK_INTERVAL_S = 0.5
-# For a worker that is told to end.
+# For a worker to exit after it was terminated.
 STOP_TIMEOUT_S = 5.0
 
 SceneObserver = Callable[[str, SceneCounts], None]
@@ -38,25 +38,25 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """What a run has found.
+    """The result of a run.
 
     Attributes:
-        scenes: The figures of each scene that was played.
+        scenes: The metrics of each scene that was played.
         counts: The counts behind them.
-        digest: Of all figures; the same seed gives the same.
+        digest: A digest of all metrics; the same seed gives the same digest.
         workers: How many workers played.
         not_run: Scenes that were not played to their end.
         stop_reason: Why the run stopped early; empty if it did not.
-        resources: What the run itself took.
+        resources: Wall time, memory and processor time of the run itself.
     """
 
-    scenes: dict[str, dict[str, Figure]] = field(default_factory=dict)
+    scenes: dict[str, dict[str, Metric]] = field(default_factory=dict)
     counts: dict[str, SceneCounts] = field(default_factory=dict)
     digest: str = ""
     workers: int = 0
     not_run: list[str] = field(default_factory=list)
     stop_reason: str = ""
-    resources: dict[str, Figure] = field(default_factory=dict)
+    resources: dict[str, Metric] = field(default_factory=dict)
 
 
 def play(plan: Plan, on_scene: SceneObserver | None = None) -> RunResult:
@@ -70,16 +70,16 @@
         UsageError: The system does not allow the descriptors that a worker needs.
     """
     workers = min(plan.size.workers, plan.size.brokers)
-    allow_descriptors(needed_descriptors(plan.size))
+    ensure_descriptor_limit(needed_descriptors(plan.size))
     pool = WorkerPool(plan, workers, on_scene)
     try:
         pool.run()
     except KeyboardInterrupt:
-        pool.stop_reason = "told to end"
+        pool.stop_reason = "interrupted by a signal"
     finally:
         pool.stop()
     played = [scene.name for scene in plan.scenes if scene.name in pool.counts]
-    scenes = {name: scene_figures(pool.counts[name]) for name in played}
+    scenes = {name: scene_metrics(pool.counts[name]) for name in played}
     return RunResult(
         scenes=scenes,
         counts=pool.counts,
@@ -108,7 +108,9 @@
         self._processes: list[BaseProcess] = []
         # The open pipes, with the number of the worker that writes to each.
         self._pipes: dict[Connection, int] = {}
-        self._parts: dict[str, list[SceneCounts]] = {scene.name: [] for scene in plan.scenes}
+        self._worker_counts: dict[str, list[SceneCounts]] = {
+            scene.name: [] for scene in plan.scenes
+        }
         self._memory_max_mb = 0.0
         self.counts: dict[str, SceneCounts] = {}
         self.stop_reason = ""
@@ -127,7 +129,7 @@
         for worker in range(self._worker_count):
             source, sink = context.Pipe(duplex=False)
             process = context.Process(
-                target=work, args=(sink, self._plan, worker, self._worker_count), daemon=True
+                target=run_worker, args=(sink, self._plan, worker, self._worker_count), daemon=True
             )
             self._processes.append(process)
             process.start()
@@ -139,21 +141,23 @@
         try:
             message = pipe.recv()
         except EOFError:
-            message = WorkerFinished(f"worker {self._pipes[pipe]} ended by itself")
+            message = WorkerFinished(
+                f"worker {self._pipes[pipe]} exited before it finished its scenes"
+            )
         if isinstance(message, SceneFinished):
-            self._add_part(message)
+            self._add_worker_counts(message)
             return
         del self._pipes[pipe]
         if message.error:
             self.stop_reason = message.error
 
-    def _add_part(self, message: SceneFinished) -> None:
-        parts = self._parts[message.scene]
-        parts.append(message.counts)
-        if len(parts) < self._worker_count:
+    def _add_worker_counts(self, message: SceneFinished) -> None:
+        worker_counts = self._worker_counts[message.scene]
+        worker_counts.append(message.counts)
+        if len(worker_counts) < self._worker_count:
             return
-        merged = merge(parts)
-        parts.clear()
+        merged = merge(worker_counts)
+        worker_counts.clear()
         self.counts[message.scene] = merged
         if self._on_scene is not None:
             self._on_scene(message.scene, merged)
@@ -175,12 +179,12 @@
             try:
                 total_mb += resident_memory_mb(process.pid or 0)
             except (OSError, IndexError):
-                # It has just ended.
+                # The process has just exited.
                 continue
         return total_mb
 
     def stop(self) -> None:
-        """End the workers that still run."""
+        """Stop the workers that still run."""
         for process in self._processes:
             if process.is_alive():
                 process.terminate()
@@ -190,8 +194,8 @@
                 process.kill()
                 process.join()
 
-    def resources(self) -> dict[str, Figure]:
-        """Return what the run has taken until now."""
+    def resources(self) -> dict[str, Metric]:
+        """Return the resources that the run has used so far."""
         cpu_s = sum(counts.cpu_s for counts in self.counts.values())
         return {
             "wall": _resource(time.monotonic() - self._started_s, "s"),
@@ -200,5 +204,5 @@
         }
 
 
-def _resource(value: float, unit: str) -> Figure:
+def _resource(value: float, unit: str) -> Metric:
     return {"value": round(value, 1), "unit": unit}
