--- a/tests/admin/calls.py
+++ b/tests/admin/calls.py
@@ -16,13 +16,13 @@
 def send_call(rig: Rig, data: bytes = b""):
     sock = socket.create_connection(rig.broker.admin.listener.sock.getsockname())
     sock.send(data)
-    return rig.keep(Peer(sock))
+    return rig.register_peer(Peer(sock))
 
 
 def call(rig: Rig, method: str, path: str, more: str = "") -> tuple[int, str]:
     caller = send_call(rig, f"{method} {path} HTTP/1.1\r\nHost: x\r\n{more}\r\n".encode())
     rig.until(lambda: caller.read() and caller.ended)
-    head, _, body = caller.got.decode().partition("\r\n\r\n")
+    head, _, body = caller.received.decode().partition("\r\n\r\n")
     assert "connection: close" in head.lower()
     return int(head.split()[1]), body
 
--- a/tests/admin/test_manual_drains.py
+++ b/tests/admin/test_manual_drains.py
@@ -37,7 +37,7 @@
 
 def test_manual_drain_withdraws_requests_that_wait_for_a_connection(rig):
     rig = rig(2)
-    rid = rig.ask(rig.client())
+    rid = rig.send_request(rig.client())
     attempt = rig.broker.registry.requests[rid].attempt
     other = "s-1" if attempt.engine == "s-0" else "s-0"
     if attempt.progress < 2:
@@ -48,7 +48,7 @@
 
 def test_recalled_engine_starts_afresh_on_a_new_connection(rig):
     rig = rig()
-    _, _, first = rig.begun()
+    _, _, first = rig.start_request()
     engine = rig.broker.balancer.engines["s-0"]
     engine.consecutive_ejections = 5
     engine.unresponsive = True
@@ -64,7 +64,7 @@
         rig.notice(("s-0", "s-0", "SERVING"))
     )  # without a start time it stays in warm-up
     assert engine.started_ms == rig.now * 1000
-    second = rig.ask(rig.client())
+    second = rig.send_request(rig.client())
     rig.expect(rig.accept("s-0"), f"REQ {second} ".encode())
     assert second.encode() not in first.read()
 
--- a/tests/admin/test_metrics.py
+++ b/tests/admin/test_metrics.py
@@ -21,22 +21,22 @@
         and read_metrics(rig)["svc_served_totallookup"] == 0
     )
     client = rig.client()
-    rid = rig.ask(client)
+    rid = rig.send_request(client)
     assert read_metrics(rig)["svc_in_flight"] == 1
     engine = rig.accept("s-0")
     rig.expect(engine, b"park_1.sites\r\n")
     assert read_metrics(rig)["svc_attempts_total"] == 1
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
-    rig.answer(client)
+    rig.read_answer(client)
     rig.broker.admission.memory_pressure = True  # rejected before the load balancer receives it
     client.sock.send(
         execute(7, {"method": "load", "rid": f"{7:016x}", "budget": "900", "obj": "k"}, b"select 1")
     )
-    rig.answer(client)
+    rig.read_answer(client)
     client.sock.send(
         execute(8, {"method": "load", "rid": "none", "budget": "900", "obj": "k"}, b"select 1")
     )
-    rig.answer(client)
+    rig.read_answer(client)
     found = read_metrics(rig)
     assert (
         found["svc_served_totallookup"],
@@ -48,7 +48,7 @@
 
 def test_in_flight_decreases_with_the_interrupt_while_the_request_is_kept(rig):
     rig = rig()
-    client, rid, _ = rig.begun()
+    client, rid, _ = rig.start_request()
     interrupt = struct.pack(">Ii9siBhiB", 0x80010004, 9, b"interrupt", 2, 8, 1, 1, 0)
     client.sock.send(struct.pack(">i", len(interrupt)) + interrupt)
     rig.until(lambda: not rig.broker.registry.in_flight)
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -44,7 +44,7 @@
     rig = rig(0)
     open_admin(rig)
     assert call(rig, "GET", "/ops/readiness")[0] == 503
-    rig.news(("s-9", "board", "SERVING"))
+    rig.publish_endpoints(("s-9", "board", "SERVING"))
     assert call(rig, "GET", "/ops/readiness")[0] == 200
     rig.broker.request_shutdown()
     assert call(rig, "GET", "/ops/readiness")[0] == 503
@@ -61,7 +61,7 @@
     slow.sock.send(b"Host: x\r\n\r\n")
     rig.expect(slow, b"HTTP/1.1 200 ")
     assert len(rig.broker.admin.sessions) <= admin.MAX_CLIENTS
-    rig.later(admin.CALL_TIMEOUT_MS + 200)
+    rig.advance_ms(admin.CALL_TIMEOUT_MS + 200)
     assert not rig.broker.admin.sessions
 
 
@@ -73,5 +73,5 @@
     (kept,) = rig.broker.admin.sessions
     kept.protocol = None  # would raise if any more input were passed to it
     caller.sock.send(b"x" * 4096)
-    rig.later(100)
+    rig.advance_ms(100)
     assert kept in rig.broker.admin.sessions and not len(kept.connection.inbound)
--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -16,7 +16,7 @@
 def test_pages_out_of_order_are_served_in_order_and_then_ended(rig):
     rig = rig()
     client = rig.client()
-    rid = rig.ask(client)
+    rid = rig.send_request(client)
     engine = rig.accept("s-0")
     rig.expect(
         engine, b"REQ %b lane=lookup,ttl=1949 26\r\nselect * from park_1.sites\r\n" % rid.encode()
@@ -28,7 +28,7 @@
     engine.sock.send(
         f"{rid} PART pos=2 6\r\nc\t1\t2\n\r\n{rid} PART pos=1 6\r\nb\t1\t2\n\r\n".encode()
     )
-    assert b"a\t1\t2\nb\t1\t2\nc\t1\t2\n" in rig.answer(client)
+    assert b"a\t1\t2\nb\t1\t2\nc\t1\t2\n" in rig.read_answer(client)
     rig.expect(engine, f"END {rid}\r\n".encode())
     assert not rig.broker.registry.requests and not rig.broker.balancer.in_flight.attempts
 
@@ -37,7 +37,7 @@
 def test_load_that_may_have_run_fails_and_is_not_retried(rig, word):
     rig = rig(2)
     client = rig.client()
-    rid = rig.ask(client, "load", obj="k")
+    rid = rig.send_request(client, "load", obj="k")
     name = rig.broker.registry.requests[rid].attempt.engine
     engine = rig.accept(name)
     rig.expect(engine, b"park_1.sites\r\n")
@@ -48,8 +48,8 @@
         engine.sock.send(f"{rid} FAULT - 0\r\n\r\n".encode())
     else:
         engine.sock.close()
-    assert struct.pack(">bh", 12, 2) in rig.answer(client)  # Aborted
-    rig.later(600)
+    assert struct.pack(">bh", 12, 2) in rig.read_answer(client)  # Aborted
+    rig.advance_ms(600)
     assert (
         rig.broker.registry.outcome_counts["attempt reset"]
         + rig.broker.registry.outcome_counts["attempt error"]
@@ -60,11 +60,11 @@
 def test_late_reply_rejects_the_request_at_once_and_ejects_no_engine(rig):
     rig = rig(2)
     client = rig.client()
-    rid = rig.ask(client)
+    rid = rig.send_request(client)
     engine = rig.accept(rig.broker.registry.requests[rid].attempt.engine)
     rig.expect(engine, b"REQ")
     engine.sock.send(f"{rid} LATE - 0\r\n\r\n".encode())
-    assert b"backoff" in rig.answer(client)
+    assert b"backoff" in rig.read_answer(client)
     assert (
         not rig.broker.balancer.ejected_endpoints(rig.now * 1000)
         and rig.broker.registry.outcome_counts["attempt moot"] == 1
@@ -74,18 +74,18 @@
 def test_sweeps_continue_after_an_exception(rig, monkeypatch):
     rig = rig()
     monkeypatch.setattr(type(rig.broker.upstream), "sweep", lambda self: 1 / 0)
-    rig.later(300)
+    rig.advance_ms(300)
     monkeypatch.undo()
     rig.broker.request_shutdown()
     rig.broker.loop.running = True
-    rig.later(1300)
+    rig.advance_ms(1300)
     assert not rig.broker.loop.running
 
 
 @pytest.mark.parametrize("word", ["SHED"])
 def test_request_that_never_ran_is_retried_on_another_engine(rig, word):
     rig = rig(2)
-    rid = rig.ask(rig.client(), "load", obj="k")
+    rid = rig.send_request(rig.client(), "load", obj="k")
     first = rig.broker.registry.requests[rid].attempt.engine
     engine = rig.accept(first)
     rig.expect(engine, b"REQ")
@@ -100,7 +100,7 @@
     port = rig.listeners["s-0"].getsockname()[1]
     rig.listeners["s-0"].close()
     rig.broker.balancer.engines["s-0"].selection_probability = 1.0
-    rid = rig.ask(rig.client(), "load", obj="k")
+    rid = rig.send_request(rig.client(), "load", obj="k")
     rig.expect(rig.accept("s-1"), f"REQ {rid} ".encode())
     assert rig.broker.registry.outcome_counts["attempt reset"] == 0
     rig.listeners["s-0"] = socket.create_server(("127.0.0.1", port))
@@ -108,12 +108,12 @@
 
 def test_interrupt_stops_the_attempt_and_gets_no_answer(rig):
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     call = struct.pack(">Ii9siBhiB", 0x80010004, 9, b"interrupt", 2, 8, 1, 1, 0)
     client.sock.send(struct.pack(">i", len(call)) + call)
     rig.expect(engine, f"STOP {rid}\r\n".encode())
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())  # late: the request ended
-    rig.later(3000)
+    rig.advance_ms(3000)
     assert (
         client.read() == b""
         and not rig.broker.registry.requests
@@ -123,10 +123,10 @@
 
 def test_silent_engine_causes_one_rejection_before_the_deadline_and_a_stop(rig):
     rig = rig()
-    client, rid, engine = rig.begun()
-    rig.later(1980)
-    assert b"backoff" in rig.answer(client)
-    rig.later(100)
+    client, rid, engine = rig.start_request()
+    rig.advance_ms(1980)
+    assert b"backoff" in rig.read_answer(client)
+    rig.advance_ms(100)
     rig.expect(engine, f"STOP {rid}\r\n".encode())
     assert (
         rig.broker.registry.outcome_counts["attempt timeout"] == 1
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
 def test_unwritten_request_is_not_sent_after_its_engine_drains_or_is_removed(rig, state):
     rig = rig()
-    rid = rig.ask(rig.client())
+    rid = rig.send_request(rig.client())
     attempt = rig.broker.registry.requests[rid].attempt
     if attempt.progress < 2:  # still connecting; else the kernel was faster and writing began
         rig.broker.endpoints.apply(rig.notice(("s-0", "s-0", state)))
@@ -149,11 +149,11 @@
 
 def test_new_engine_at_an_old_address_gets_its_own_connection(rig):
     rig = rig()
-    first = rig.ask(rig.client())
+    first = rig.send_request(rig.client())
     old = rig.accept("s-0")
     rig.expect(old, first.encode())
-    rig.news(("s-0", "s-0", "DELETED"), ("s-9", "s-0", "SERVING"))
-    second = rig.ask(rig.client())
+    rig.publish_endpoints(("s-0", "s-0", "DELETED"), ("s-9", "s-0", "SERVING"))
+    second = rig.send_request(rig.client())
     new = rig.accept("s-0")
     rig.expect(new, second.encode())
     assert second.encode() not in old.read()
@@ -161,28 +161,28 @@
 
 def test_connection_near_its_idle_timeout_is_not_reused(rig):
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
-    rig.answer(client)
+    rig.read_answer(client)
     for probe in engine.read().split(b"STAT ")[1:]:
         engine.sock.send(probe.split()[0] + b" PONG - 0\r\n\r\n")
-    rig.later(14_500, 40)
+    rig.advance_ms(14_500, 40)
     assert engine.read() is not None and engine.ended
 
 
 def test_silent_discovery_service_is_polled_again_over_a_new_connection(rig):
     rig = rig()
-    rig.expect(rig.board, b"GET /board/poll?watch=1&linger=")
-    rig.later(3000)
+    rig.expect(rig.discovery_peer, b"GET /board/poll?watch=1&linger=")
+    rig.advance_ms(3000)
     rig.expect(rig.accept("board"), b"GET /board/poll?watch=1&linger=")
 
 
 def test_discovery_service_that_truncates_its_answer_is_polled_again_at_once(rig):
     rig = rig()
-    rig.expect(rig.board, b"GET")
-    rig.board.sock.send(b'HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{"rev":2,')
+    rig.expect(rig.discovery_peer, b"GET")
+    rig.discovery_peer.sock.send(b'HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{"rev":2,')
     rig.broker.loop.step(5)
-    rig.board.sock.close()
+    rig.discovery_peer.sock.close()
     rig.expect(rig.accept("board"), b"GET /board/poll?watch=1&linger=")  # no time has passed
 
 
@@ -204,22 +204,22 @@
 def test_malformed_response_is_never_served_and_closes_its_connection(rig, line):
     rig = rig()
     client = rig.client()
-    rid = rig.ask(client, "load", obj="k").encode()
+    rid = rig.send_request(client, "load", obj="k").encode()
     engine = rig.accept("s-0")
     rig.expect(engine, b"park_1.sites\r\n")
     engine.sock.send(rid + b" " + line.replace(b"%b", rid))
-    assert struct.pack(">bh", 12, 2) in rig.answer(client)  # Aborted: it may have run
+    assert struct.pack(">bh", 12, 2) in rig.read_answer(client)  # Aborted: it may have run
     rig.until(lambda: engine.read() is not None and engine.ended)
     assert rig.broker.registry.outcome_counts["served"] == 0
 
 
 def test_duplicate_and_unknown_responses_are_dropped_and_the_connection_stays_open(rig):
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     once = f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode()
     engine.sock.send(b"f" * 16 + once[16:] + once + once)
-    assert b"a\t1\t2\n" in rig.answer(client)
-    rig.later(100)
+    assert b"a\t1\t2\n" in rig.read_answer(client)
+    rig.advance_ms(100)
     assert (
         not engine.ended and rig.broker.registry.outcome_counts["served"] == 1 and not client.read()
     )
@@ -250,22 +250,22 @@
     client.sock.send(
         execute(1, {"method": "lookup", "rid": "0" * 16, "budget": "900"} | more, body)
     )
-    assert rig.answer(client).startswith(struct.pack(">I", 0x80010003))
+    assert rig.read_answer(client).startswith(struct.pack(">I", 0x80010003))
     assert (
         not rig.broker.balancer.retry_budget.requests and not rig.broker.balancer.requests
     )  # the load balancer did not receive it
-    assert rig.ask(client) in rig.broker.registry.requests  # the connection stays usable
+    assert rig.send_request(client) in rig.broker.registry.requests  # the connection stays usable
 
 
 def test_request_with_the_id_of_an_open_request_fails(rig):
     rig = rig()
     client = rig.client()
-    rid = rig.ask(client)
+    rid = rig.send_request(client)
     rig.seqid += 1
     client.sock.send(
         execute(rig.seqid, {"method": "lookup", "rid": rid, "budget": "900"}, b"select 1")
     )
-    assert struct.pack(">bh", 12, 2) in rig.answer(client)
+    assert struct.pack(">bh", 12, 2) in rig.read_answer(client)
     assert list(rig.broker.registry.requests) == [rid]
 
 
@@ -274,16 +274,16 @@
     client, other = rig.client(), rig.client()
     client.sock.send(b"\x7f\xff\xff\xff")
     rig.until(lambda: client.read() is not None and client.ended)
-    assert rig.ask(other) in rig.broker.registry.requests
+    assert rig.send_request(other) in rig.broker.registry.requests
 
 
 def test_idle_client_is_evicted_when_the_client_limit_is_reached(rig):
     rig = rig()
     rig.broker.frontend.max_clients = 2
     busy, quiet = rig.client(), rig.client()
-    rig.ask(busy)
+    rig.send_request(busy)
     new = rig.client()
-    rig.ask(new)
+    rig.send_request(new)
     rig.until(lambda: quiet.read() is not None and quiet.ended)
     assert not busy.ended and len(rig.broker.frontend.clients) == 2
 
@@ -327,32 +327,32 @@
 def test_discovery_service_that_answers_at_once_is_not_polled_in_a_busy_loop(rig):
     rig = rig()
     for _ in range(50):
-        poll_count = rig.board.read().count(b"GET")
-        rig.board.sock.send(
+        poll_count = rig.discovery_peer.read().count(b"GET")
+        rig.discovery_peer.sock.send(
             b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n" + b'{"rev":1,"notices":[]}'
         )
         rig.broker.loop.step(0)
-    assert rig.board.read().count(b"GET") == poll_count <= 2
+    assert rig.discovery_peer.read().count(b"GET") == poll_count <= 2
 
 
 def test_empty_first_answer_is_followed_by_an_immediate_poll(rig):
     """Guards against requests to removed engines: after the loss of a zone with its brokers, five that restarted got
     such an answer, waited 400 ms, and sent to engines that had been removed before their start."""
     rig = rig()
-    rig.until(lambda: b"GET" in rig.board.read())
-    poll_count = rig.board.read().count(b"GET")
-    rig.board.sock.send(
+    rig.until(lambda: b"GET" in rig.discovery_peer.read())
+    poll_count = rig.discovery_peer.read().count(b"GET")
+    rig.discovery_peer.sock.send(
         b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n" + b'{"rev":1,"notices":[]}'
     )
     for _ in range(40):
         rig.now += 0.001
         rig.broker.loop.step(0)
-    assert rig.board.read().count(b"GET") == poll_count + 1
+    assert rig.discovery_peer.read().count(b"GET") == poll_count + 1
 
 
 def test_load_balancer_handles_a_drain_before_the_attempts_that_it_withdraws(rig):
     rig = rig(2)
-    rid = rig.ask(rig.client())
+    rid = rig.send_request(rig.client())
     attempt = rig.broker.registry.requests[rid].attempt
     attempt.carrier.transport.outbox.clear()
     attempt.progress = SendProgress.NOT_WRITTEN
@@ -368,26 +368,28 @@
     active.sock.send(execute(1, {}, b"x"))  # rejected, but it was a complete call
     partial.sock.send(b"\0\0\1\0abc")
     rig.until(lambda: len(rig.broker.frontend.clients) == 3)
-    rig.later(1800)
+    rig.advance_ms(1800)
     partial.sock.send(b"d")  # one more byte does not complete the call
-    rig.later(300)
+    rig.advance_ms(300)
     rig.until(lambda: silent.read() is not None and silent.ended)
     assert not partial.read() and not partial.ended
-    rig.later(800)  # slow partial calls are limited too, within the 3 s that such a client must get
+    rig.advance_ms(
+        800
+    )  # slow partial calls are limited too, within the 3 s that such a client must get
     rig.until(lambda: partial.read() is not None and partial.ended)
-    rig.later(4000)
+    rig.advance_ms(4000)
     assert active.read() and not active.ended
     active.sock.send(b"\0\0\1")
-    rig.later(2500)
+    rig.advance_ms(2500)
     assert active.read() and active.ended
 
 
 def test_client_waiting_for_its_answer_is_not_closed_for_a_partial_call(rig):
     rig = rig()
     client = rig.client()
-    rid = rig.ask(client, "load", obj="k", budget="20000")
+    rid = rig.send_request(client, "load", obj="k", budget="20000")
     client.sock.send(b"\0\0\1")
-    rig.later(12_000, 100)
+    rig.advance_ms(12_000, 100)
     assert rid in rig.broker.registry.requests and not client.read() and not client.ended
 
 
@@ -405,7 +407,7 @@
 
 def test_request_withdrawn_before_it_was_written_counts_against_no_engine(rig):
     rig = rig()
-    rig.ask(rig.client())
+    rig.send_request(rig.client())
     (request,) = rig.broker.registry.requests.values()
     attempt = request.attempt
     attempt.carrier.transport.outbox.clear()
@@ -421,7 +423,7 @@
 def test_lack_of_descriptors_counts_against_no_engine(rig):
     rig = rig()
     rig.broker.upstream.pool.max_connections = 0
-    rig.ask(rig.client())
+    rig.send_request(rig.client())
     assert (
         rig.broker.registry.outcome_counts["attempt full"]
         and not rig.broker.registry.outcome_counts["attempt no connection"]
@@ -434,21 +436,24 @@
 def test_truncated_response_closes_its_connection_for_all_requests_on_it(rig, response):
     rig = rig()
     client = rig.client()
-    first, second = rig.ask(client, "load", obj="k"), rig.ask(client, "load", obj="l")
+    first, second = (
+        rig.send_request(client, "load", obj="k"),
+        rig.send_request(client, "load", obj="l"),
+    )
     engine = rig.accept("s-0")
     rig.expect(engine, second.encode())
     engine.sock.send(first.encode() + b" " + response)
-    rig.later(1900)
+    rig.advance_ms(1900)
     for _ in range(2):
-        assert struct.pack(">bh", 12, 2) in rig.answer(client)
+        assert struct.pack(">bh", 12, 2) in rig.read_answer(client)
     rig.until(lambda: engine.read() is not None and engine.ended)
 
 
 def test_connection_closed_by_the_engine_is_not_written_to(rig):
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
-    rig.answer(client)
+    rig.read_answer(client)
     (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
     connection.health_checks.clear()
     engine.sock.close()  # the loop has not seen it when the next request comes
@@ -469,9 +474,9 @@
     active, silent = rig.client(), rig.client()
     active.sock.send(execute(1, {}, b"x"))
     rig.until(lambda: active.read())
-    rig.later(100)
+    rig.advance_ms(100)
     silent.sock.send(b"\0")
-    rig.ask(rig.client())
+    rig.send_request(rig.client())
     rig.until(lambda: silent.read() is not None and silent.ended)
     assert not active.read() or not active.ended
 
@@ -498,79 +503,82 @@
 
 def test_complete_result_is_served_even_if_its_connection_fails_at_the_end(rig, monkeypatch):
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
     monkeypatch.setattr(
         EngineConnection, "write", lambda self, command: connection.transport.close("write: EPIPE")
     )
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
-    assert b"a\t1\t2\n" in rig.answer(client)
+    assert b"a\t1\t2\n" in rig.read_answer(client)
     assert rig.broker.registry.outcome_counts["attempt served"] == 1
 
 
 def test_silent_connection_is_closed_once_its_engine_responds_on_another(rig):
     rig = rig()
     client = rig.client()
-    rid = rig.ask(client, "load", obj="k", budget="20000")
+    rid = rig.send_request(client, "load", obj="k", budget="20000")
     engine = rig.accept("s-0")
     rig.expect(engine, b"REQ")
     rig.broker.upstream.health_checks.start("s-0")
-    rig.later(800)
+    rig.advance_ms(800)
     (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
     assert connection.unresponsive and rid in rig.broker.registry.requests
-    rig.later(1800)
+    rig.advance_ms(1800)
     rig.broker.upstream.health_checks.start("s-0")
     other = rig.accept("s-0")
     rig.expect(other, b"STAT ")
     other.sock.send(other.read().split()[1] + b" PONG rep=inflight:0 0\r\n\r\n")
     rig.until(lambda: engine.read() is not None and engine.ended)
-    assert struct.pack(">bh", 12, 2) in rig.answer(client)  # Aborted: it may have run
+    assert struct.pack(">bh", 12, 2) in rig.read_answer(client)  # Aborted: it may have run
 
 
 def test_connection_that_delivers_any_data_is_not_unresponsive(rig):
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     rig.broker.upstream.health_checks.start("s-0")
-    rig.later(300)
+    rig.advance_ms(300)
     engine.sock.send(f"{rid} INFO why=done,reading=0.1 0\r\n\r\n".encode())
-    rig.later(500)
+    rig.advance_ms(500)
     (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
     assert not connection.unresponsive and not connection.health_checks
 
 
 def test_health_check_on_a_reset_connection_does_not_mark_its_engine_unresponsive(rig):
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     rig.broker.upstream.health_checks.start("s-0")
     engine.sock.close()
     rig.until(lambda: not rig.broker.upstream.pool.by_engine)
     assert not rig.broker.balancer.engines["s-0"].unresponsive
     rig.broker.upstream.health_checks.start("s-0")
-    rig.later(600)
+    rig.advance_ms(600)
     assert rig.broker.balancer.engines["s-0"].unresponsive
 
 
 def test_response_in_small_pieces_is_awaited_while_they_arrive(rig):
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     for piece in (f"{rid} HI", "T count=1", " 6\r\n", "a\t", "1\t2\n\r\n"):
-        rig.later(300)
+        rig.advance_ms(300)
         assert not engine.read().endswith(b"STOP") and not engine.ended
         engine.sock.send(piece.encode())
-    assert b"a\t1\t2\n" in rig.answer(client)
+    assert b"a\t1\t2\n" in rig.read_answer(client)
 
 
 def test_missing_pages_end_only_their_own_request(rig):
     rig = rig()
     client = rig.client()
-    first, second = rig.ask(client, "load", obj="k"), rig.ask(client, "load", obj="l")
+    first, second = (
+        rig.send_request(client, "load", obj="k"),
+        rig.send_request(client, "load", obj="l"),
+    )
     engine = rig.accept("s-0")
     rig.expect(engine, second.encode())
     engine.sock.send(first.encode() + b" HIT count=2 6\r\na\t1\t2\n\r\n")
-    rig.later(1000)
+    rig.advance_ms(1000)
     engine.sock.send(second.encode() + b" INFO why=done,reading=0.1 0\r\n\r\n")
-    rig.later(800)
-    assert struct.pack(">bh", 12, 2) in rig.answer(client)  # Aborted: it has run
+    rig.advance_ms(800)
+    assert struct.pack(">bh", 12, 2) in rig.read_answer(client)  # Aborted: it has run
     rig.expect(engine, b"END " + first.encode())
     (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
     assert list(connection.attempts) == [second]
@@ -578,4 +586,4 @@
         first.encode() + b" PART pos=1 6\r\nb\t1\t2\n\r\n"
     )  # late: the request has ended
     engine.sock.send(second.encode() + b" HIT count=1 6\r\nc\t1\t2\n\r\n")
-    assert b"c\t1\t2\n" in rig.answer(client)
+    assert b"c\t1\t2\n" in rig.read_answer(client)
--- a/tests/broker/test_many_engines.py
+++ b/tests/broker/test_many_engines.py
@@ -35,7 +35,7 @@
 
 
 def test_successor_receives_a_long_list_complete(rig, tmp_path):
-    old = rig(1, path=str(tmp_path / "b.sock"))
+    old = rig(1, handover_path=str(tmp_path / "b.sock"))
     old.broker.endpoints.apply(many(old, 5000))
     new = old.successor()
     assert (
--- a/tests/broker/test_memory_pressure.py
+++ b/tests/broker/test_memory_pressure.py
@@ -13,7 +13,7 @@
     client.sock.send(
         execute(1, {"method": "lookup", "rid": "0" * 16, "budget": "900"}, b"select 1")
     )
-    assert b"backoff" in rig.answer(client)
+    assert b"backoff" in rig.read_answer(client)
 
 
 def test_pressure_ends_when_half_of_the_peak_has_ended():
--- a/tests/broker/test_readiness.py
+++ b/tests/broker/test_readiness.py
@@ -10,7 +10,7 @@
     rig = rig(1)
     rig.broker.discovery.has_answered = False
     assert not rig.broker.readiness.accepts_clients()
-    rig.news(("s-0", "s-0", "SERVING"))
+    rig.publish_endpoints(("s-0", "s-0", "SERVING"))
     assert rig.broker.readiness.accepts_clients()
     rig.broker.discovery.has_answered = False
     assert not rig.broker.readiness.accepts_clients()
--- a/tests/broker/test_reload.py
+++ b/tests/broker/test_reload.py
@@ -12,7 +12,7 @@
     changed.listen = ("127.0.0.1", 1)
     rig.broker.reloader.load_config = lambda: changed
     rig.broker.request_reload()
-    rig.later(120)
+    rig.advance_ms(120)
     host, port = changed.discovery
     assert [record.getMessage() for record in caplog.records] == [
         f"config_reloaded discovery={host}:{port}",
--- a/tests/broker/test_reload_on_sockets.py
+++ b/tests/broker/test_reload_on_sockets.py
@@ -14,9 +14,9 @@
     fresh.discovery = rig.listeners["other"].getsockname()
     rig.broker.reloader.load_config = lambda: fresh
     rig.broker.request_reload()
-    rig.later(120)
+    rig.advance_ms(120)
     rig.expect(rig.accept("other"), b"GET /board/poll?watch=1&linger=")
-    rig.until(lambda: rig.board.read() is not None and rig.board.ended)
+    rig.until(lambda: rig.discovery_peer.read() is not None and rig.discovery_peer.ended)
 
 
 def test_reload_changes_nothing_when_configuration_is_malformed(rig, caplog):
@@ -27,8 +27,8 @@
 
     rig.broker.reloader.load_config = broken
     rig.broker.request_reload()
-    rig.later(120)
+    rig.advance_ms(120)
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == [
         "config_reload_failed reason=lacks 'board'"
     ]
-    assert not rig.board.ended and rig.broker.discovery.connection.state.value == "open"
+    assert not rig.discovery_peer.ended and rig.broker.discovery.connection.state.value == "open"
--- a/tests/broker/test_shutdown.py
+++ b/tests/broker/test_shutdown.py
@@ -22,10 +22,10 @@
     phases = [rig.broker.shutdown.phase]
     rig.broker.loop.running = True
     rig.broker.request_shutdown()
-    rig.later(200)
+    rig.advance_ms(200)
     phases.append(rig.broker.shutdown.phase)
     assert rig.broker.frontend.listener is not None
-    rig.later(1000 * shutdown.LISTENER_GRACE_S)
+    rig.advance_ms(1000 * shutdown.LISTENER_GRACE_S)
     phases.append(rig.broker.shutdown.phase)
     assert rig.broker.frontend.listener is None
     assert not rig.broker.loop.running
--- a/tests/client_calls.py
+++ b/tests/client_calls.py
@@ -26,7 +26,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.connect(rig.broker.frontend.listener.sock.getsockname())
     rig.until(lambda: rig.broker.frontend.clients)
-    return rig.keep(Peer(sock))
+    return rig.register_peer(Peer(sock))
 
 
 def newest_client_connection(rig):
@@ -44,6 +44,6 @@
             step()
             continue
         if not data:
-            return peer.got
-        peer.got += data
+            return peer.received
+        peer.received += data
     raise AssertionError("the connection did not end within 4000 reads")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -29,13 +29,13 @@
 
     def make(
         engines: int = 1,
-        path: str | None = None,
+        handover_path: str | None = None,
         cancel: bool = False,
-        gate=None,
+        make_contracts=None,
         receipts: bool = False,
-        probes: bool = True,
+        health_checks: bool = True,
     ) -> Rig:
-        made.append(Rig(engines, path, cancel, gate, receipts, probes))
+        made.append(Rig(engines, handover_path, cancel, make_contracts, receipts, health_checks))
         return made[-1]
 
     yield make
--- a/tests/deadlines/test_deadlines_at_sockets.py
+++ b/tests/deadlines/test_deadlines_at_sockets.py
@@ -41,10 +41,10 @@
         lambda event: (events.append(event), post(event)),
     )
     client, rid, engine = send_partly_written_request(rig)
-    rig.later(2_100)
-    rig.until(lambda: rig.answer(client))
+    rig.advance_ms(2_100)
+    rig.until(lambda: rig.read_answer(client))
     rig.until(lambda: engine.read() and engine.ended)
-    assert len(engine.got) < len(BIG) and rig.broker.upstream.given_up == {"PARTLY_WRITTEN": 1}
+    assert len(engine.received) < len(BIG) and rig.broker.upstream.given_up == {"PARTLY_WRITTEN": 1}
     assert [event.outcome for event in events if isinstance(event, AttemptEnded)] == [
         AttemptOutcome.NO_CONNECTION
     ]
@@ -56,27 +56,28 @@
     client.sock.close()
     rig.until(lambda: rid not in rig.broker.registry.requests)
     other = rig.client()
-    following = rig.ask(other, "load", obj="k")
-    rig.later(800)
+    following = rig.send_request(other, "load", obj="k")
+    rig.advance_ms(800)
     again = rig.accept("s-0")
     rig.expect(again, following.encode())
     assert (
-        rid.encode() not in again.got and not rig.broker.registry.requests[following].attempt.ended
+        rid.encode() not in again.received
+        and not rig.broker.registry.requests[following].attempt.ended
     )
 
 
 def test_expired_request_is_not_sent_in_the_first_loop_step_after_a_stall(rig):
     rig = rig()
     client = rig.client()
-    rid = rig.ask(
+    rid = rig.send_request(
         client, budget="400"
     )  # its connection is being opened, or its bytes are in the outbox
     rig.now += 0.5  # the process was stopped: ready sockets are handled before due timers
     rig.broker.loop.step(0)
     engine = rig.accept("s-0")
     rig.until(lambda: rid not in rig.broker.registry.requests)
-    rig.later(200)
-    assert b"REQ" not in engine.read() and rig.answer(client)
+    rig.advance_ms(200)
+    assert b"REQ" not in engine.read() and rig.read_answer(client)
 
 
 def test_request_with_less_time_than_the_network_delay_ends_at_once_and_ejects_no_engine(rig):
@@ -88,7 +89,7 @@
         "budget": "5",
     }  # less than the network delay that is assumed for an unknown engine
     client.sock.send(execute(1, fields, b"select * from park_1.sites"))
-    assert rig.answer(client)
+    assert rig.read_answer(client)
     assert rig.broker.upstream.expired == {
         "NO_WAY": 1
     } and not rig.broker.balancer.ejected_endpoints(rig.broker.now_ms())
@@ -96,24 +97,24 @@
 
 def test_step_of_the_unix_clock_neither_ends_nor_extends_open_requests(rig):
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     for step in (10.0, -20.0, 10.0):
         rig.broker.timeline._unix = lambda step=step: rig.now + step
-        rig.later(400)
+        rig.advance_ms(400)
         assert (
             rid in rig.broker.registry.requests
             and not engine.ended
             and b"STOP" not in engine.read()
         )
-    rig.later(1_000)
+    rig.advance_ms(1_000)
     assert rid not in rig.broker.registry.requests  # at its time on the monotonic clock
-    assert rig.answer(client)
+    assert rig.read_answer(client)
 
 
 def test_stalled_connection_accepts_no_new_request(rig):
     rig = rig()
     send_partly_written_request(rig)
-    rig.later(300)
+    rig.advance_ms(300)
     (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
     assert connection.transport.is_write_stalled() and not connection.accepts(
         "f" * 16, rig.broker.now_ms()
@@ -133,10 +134,10 @@
         )
     )
     rig.broker.loop.step(0)
-    rig.later(40)  # one tick of the load balancer
-    assert rig.answer(client) and rig.broker.registry.attempts_sent == 0
-    rig.later(100)
-    rid = rig.ask(client, budget="2000")  # later calls count from now
+    rig.advance_ms(40)  # one tick of the load balancer
+    assert rig.read_answer(client) and rig.broker.registry.attempts_sent == 0
+    rig.advance_ms(100)
+    rid = rig.send_request(client, budget="2000")  # later calls count from now
     assert rig.broker.registry.requests[rid].budget.remaining_ms(rig.broker.now_ms()) > 1_900
 
 
--- a/tests/discovery/test_broker_discovery.py
+++ b/tests/discovery/test_broker_discovery.py
@@ -29,7 +29,7 @@
             "notices": [{"rev": rig.rev, "pool": {"reset": False, "instances": [entry]}}],
         }
     )
-    rig.board.sock.send(
+    rig.discovery_peer.sock.send(
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body.encode())
     )
     rig.until(lambda: rig.broker.endpoints.revision == rig.rev)
@@ -104,7 +104,7 @@
 
 
 def list_answer(rig, *entries, reset: bool = False) -> bytes:
-    body = json.dumps(rig.notices(*entries, reset=reset)).encode()
+    body = json.dumps(rig.discovery_answer(*entries, reset=reset)).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
@@ -118,21 +118,23 @@
 
 def test_broker_applies_a_drain_over_a_new_connection_when_an_answer_is_cut_off(rig):
     rig = rig(2)
-    rig.expect(rig.board, b"GET")
+    rig.expect(rig.discovery_peer, b"GET")
     answer = list_answer(rig, ("s-0", "s-0", "DRAINING"))
-    rig.board.sock.send(answer[:-20])  # nothing else is sent, and the connection stays open
-    rig.later(600)
-    assert rig.broker.endpoints.find("s-0") and not rig.board.ended
-    rig.later(200)
+    rig.discovery_peer.sock.send(
+        answer[:-20]
+    )  # nothing else is sent, and the connection stays open
+    rig.advance_ms(600)
+    assert rig.broker.endpoints.find("s-0") and not rig.discovery_peer.ended
+    rig.advance_ms(200)
     accept_poll(rig).sock.send(answer)
     rig.until(lambda: rig.broker.endpoints.find("s-0") is None)
 
 
 def test_broker_applies_a_drain_announced_while_it_was_disconnected(rig):
     rig = rig(2)
-    rig.board.sock.close()
+    rig.discovery_peer.sock.close()
     answer = list_answer(rig, ("s-0", "s-0", "DRAINING"))
-    rig.later(100)
+    rig.advance_ms(100)
     accept_poll(rig).sock.send(answer)
     rig.until(lambda: rig.broker.endpoints.find("s-0") is None)
 
@@ -141,20 +143,20 @@
 def test_broker_polls_only_the_new_address_when_reconfigured_at_any_moment(rig, moment):
     rig = rig(2)
     rig.listeners["other"] = rig._listen()
-    client, old_peer = rig.broker.discovery, rig.board
+    client, old_peer = rig.broker.discovery, rig.discovery_peer
     rig.expect(old_peer, b"GET")
     if moment == "pause":  # the old service answers without waiting
         for _ in range(3):
-            old_peer.got = b""
+            old_peer.received = b""
             old_peer.sock.send(
                 b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n" + b'{"rev":1,"notices":[]}'
             )
-            rig.later(40)
+            rig.advance_ms(40)
     elif moment == "back-off":
         listener = rig.listeners.pop("board")
         listener.close()
         old_peer.sock.close()
-        rig.until(lambda: rig.later(20) or client.connection is None)
+        rig.until(lambda: rig.advance_ms(20) or client.connection is None)
     elif moment == "connect":
         client._disconnect()
         client.start()
@@ -174,7 +176,7 @@
         rig.rev = 1
     new_peer.sock.send(list_answer(rig, ("s-0", "s-0", "DRAINING")))
     rig.until(lambda: rig.broker.endpoints.find("s-0") is None)
-    rig.later(3000)
+    rig.advance_ms(3000)
     assert (
         rig.broker.endpoints.find("s-1") and client.address == rig.listeners["other"].getsockname()
     )
@@ -182,27 +184,27 @@
 
 def test_broker_removes_every_engine_on_an_empty_list_and_restores_them_on_the_next(rig):
     rig = rig(2)
-    rig.board.sock.send(list_answer(rig, reset=True))
+    rig.discovery_peer.sock.send(list_answer(rig, reset=True))
     rig.until(lambda: not rig.broker.endpoints.directory)
     assert not rig.broker.readiness.accepts_clients() and not rig.broker.balancer.up
-    rig.expect(rig.board, b"watch=2")
-    rig.board.sock.send(list_answer(rig, ("s-0", "s-0", "SERVING")))
+    rig.expect(rig.discovery_peer, b"watch=2")
+    rig.discovery_peer.sock.send(list_answer(rig, ("s-0", "s-0", "SERVING")))
     rig.until(lambda: rig.broker.endpoints.find("s-0"))
     assert rig.broker.readiness.accepts_clients()
 
 
 def test_broker_ignores_regressed_revisions_without_polling_in_a_loop(rig):
     rig = rig(2)
-    rig.news(("s-0", "s-0", "SERVING"))
+    rig.publish_endpoints(("s-0", "s-0", "SERVING"))
     revision_before, rig.rev = rig.broker.endpoints.revision, 0
-    rig.board.read()
-    rig.board.got = b""
+    rig.discovery_peer.read()
+    rig.discovery_peer.received = b""
     for _ in range(20):
         rig.rev = 0
-        rig.board.sock.send(list_answer(rig, ("s-0", "s-0", "DELETED"), reset=True))
-        rig.later(20)
+        rig.discovery_peer.sock.send(list_answer(rig, ("s-0", "s-0", "DELETED"), reset=True))
+        rig.advance_ms(20)
     assert rig.broker.endpoints.revision == revision_before and rig.broker.endpoints.find("s-0")
-    assert rig.board.read().count(b"GET") <= 8
+    assert rig.discovery_peer.read().count(b"GET") <= 8
 
 
 def test_broker_polls_again_later_when_no_descriptor_is_free(rig, monkeypatch):
@@ -216,8 +218,8 @@
         return original_socket(*args, **kwargs)
 
     monkeypatch.setattr(connection.socket, "socket", fail_without_descriptor)
-    rig.board.sock.close()
-    rig.later(1000)
+    rig.discovery_peer.sock.close()
+    rig.advance_ms(1000)
     monkeypatch.undo()
     assert not failures_left[0]
     accept_poll(rig)
@@ -238,7 +240,7 @@
     rig = rig(len(entries))
     rig.broker.discovery.has_answered = False
     rig.broker.readiness.logged_start = readiness.LoggedStart.NOTHING
-    rig.later(4000)
+    rig.advance_ms(4000)
     lines = [r.getMessage() for r in caplog.records if "ready" in r.getMessage()]
     assert len(lines) == 1 and lines[0].startswith(expected_line)
 
@@ -253,12 +255,12 @@
         rig.notice(*[(f"e-{n}", "s-0", "SERVING") for n in range(1024)], reset=True)
     )
     broker.discovery.has_answered = False
-    started_s, polls = rig.now, [rig.board]
+    started_s, polls = rig.now, [rig.discovery_peer]
     while not broker.readiness.is_ready():
-        rig.later(100)
+        rig.advance_ms(100)
         try:
             polls.append(
-                rig.keep(Peer(rig.listeners["board"].accept()[0]))
+                rig.register_peer(Peer(rig.listeners["board"].accept()[0]))
             )  # it polls again over a new connection
         except BlockingIOError:
             pass
--- a/tests/endpoints/test_broker_subset.py
+++ b/tests/endpoints/test_broker_subset.py
@@ -21,7 +21,7 @@
     broker.readiness.endpoints = broker.endpoints
     broker.endpoints.publisher.post = broker.post
     broker.endpoints.apply(watch_event(1, map(endpoint_update, range(4000)), complete=True))
-    rig.later(200)
+    rig.advance_ms(200)
     (line,) = [r.getMessage() for r in caplog.records if r.getMessage().startswith("broker_ready")]
     assert f" engines=4000 in_subset={len(broker.balancer.engines)} " in line
     assert len(broker.balancer.engines) < 2 * SUBSET_SIZE
--- a/tests/frontend/test_client_close.py
+++ b/tests/frontend/test_client_close.py
@@ -39,9 +39,9 @@
     rig = rig()
     client = client_with_small_buffer(rig)
     rig.broker.frontend.drain_idle_connections()
-    rig.later(MAX_CLOSING_MS - 100)
+    rig.advance_ms(MAX_CLOSING_MS - 100)
     assert rig.broker.frontend.closing and not rig.broker.frontend.clients
-    rig.later(200)
+    rig.advance_ms(200)
     assert not rig.broker.frontend.closing
     client.sock.close()
 
@@ -52,7 +52,7 @@
     client = rig.client()
     rig.until(lambda: rig.broker.frontend.clients)
     client.sock.send(execute_call(1, "other"))
-    rig.until(lambda: rig.answer(client))
+    rig.until(lambda: rig.read_answer(client))
     rig.now += 60.0
     client.sock.send(execute_call(2))
     if cause == "evict":
--- a/tests/frontend/test_client_disconnect.py
+++ b/tests/frontend/test_client_disconnect.py
@@ -73,7 +73,7 @@
     got = b""
     for _ in range(4000):
         rig.step(0)
-        client.got = b""
+        client.received = b""
         got += client.read()
         if got.count(b"\x80\x01\x00\x03") == MAX_DEFERRED_CALLS and b"backoff" in got:
             break
--- a/tests/hot_restart/processes.py
+++ b/tests/hot_restart/processes.py
@@ -26,7 +26,7 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         )
         made.until(lambda: new.discovery.has_answered)
-        made.later(200)
+        made.advance_ms(200)
         made.until(lambda: made.broker.hot_restart.successor_is_ready)
     return made, new
 
@@ -34,18 +34,18 @@
 def with_client_handed_over(rig, tmp_path) -> tuple[Rig, broker.Broker, Peer, str]:
     """Return a client with a call at the predecessor, whose connection was handed over."""
     made = rig(1, str(tmp_path / "s"))
-    client, rid, made.engine = made.begun()
+    client, rid, made.engine = made.start_request()
     new = made.successor()
-    made.later(200)
+    made.advance_ms(200)
     body = b'{"rev":%d,"notices":[]}' % made.rev
     made.accept("board").sock.send(
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     )
     made.until(lambda: new.discovery.has_answered)
-    made.later(200)
+    made.advance_ms(200)
     made.until(lambda: made.broker.frontend.paused)
     made.broker.request_shutdown()
-    made.later(200)
+    made.advance_ms(200)
     assert new.frontend.clients and not made.broker.frontend.clients
     return made, new, client, rid
 
@@ -79,7 +79,7 @@
     _, fds, _, _ = socket.recv_fds(link, 1, 2)
     for fd in fds:
         os.close(fd)
-    peer = rig.keep(Peer(link))
+    peer = rig.register_peer(Peer(link))
     rig.until(lambda: b"\n" in peer.read())
-    line, _, peer.got = peer.got.partition(b"\n")
+    line, _, peer.received = peer.received.partition(b"\n")
     return peer, json.loads(line)["hello"]
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -15,9 +15,9 @@
 
 def test_successor_accepts_after_bounded_wait_for_discovery(rig, tmp_path):
     made, new = broker_with_successor(rig, tmp_path, accepts=False)
-    made.later(500)
+    made.advance_ms(500)
     assert not new.readiness.is_ready() and not made.broker.frontend.paused
-    made.later(1000 * readiness.MAX_DISCOVERY_WAIT_S)
+    made.advance_ms(1000 * readiness.MAX_DISCOVERY_WAIT_S)
     made.until(lambda: new.readiness.is_ready() and made.broker.frontend.paused)
 
 
@@ -65,7 +65,7 @@
     made.client()
     made.until(lambda: new.frontend.clients)
     made.memory_mb = 80.0
-    made.later(400)
+    made.advance_ms(400)
     assert (
         made.broker.frontend.peer_client_count == 1
         and new.hot_restart.usage_of_peers().memory_mb == 80.0
@@ -82,16 +82,16 @@
     new.close()
     made.brokers.remove(new)
     made.until(lambda: not made.broker.frontend.paused)
-    made.begun()
+    made.start_request()
     assert made.broker.hot_restart.listener.is_open
 
 
 def test_listener_stays_with_successor_when_link_breaks_after_shutdown_request(rig, tmp_path):
     made, new = broker_with_successor(rig, tmp_path)
     made.broker.request_shutdown()
-    made.later(200)
+    made.advance_ms(200)
     new.hot_restart.peers[0].link.close("broken")
-    made.later(200)
+    made.advance_ms(200)
     assert (
         made.broker.frontend.paused
         and made.broker.shutdown.phase is shutdown.ShutdownPhase.HANDING_OVER
@@ -102,24 +102,24 @@
     monkeypatch.setattr(shutdown, "MAX_HANDOVER_S", 1.0)
     made = rig(1, str(tmp_path / "s"))
     client = made.client()
-    made.ask(client, "load", obj="k", budget="25000")
+    made.send_request(client, "load", obj="k", budget="25000")
     made.expect(made.accept("s-0"), b"REQ")
     new = made.successor()
-    made.later(1000 * readiness.MAX_DISCOVERY_WAIT_S + 300)
+    made.advance_ms(1000 * readiness.MAX_DISCOVERY_WAIT_S + 300)
     made.until(lambda: made.broker.frontend.paused)
     # Waits for the earlier request with the same key.
-    queued = made.ask(client, "load", obj="k", budget="25000")
+    queued = made.send_request(client, "load", obj="k", budget="25000")
     made.broker.request_shutdown()
     made.broker.loop.running = True
-    made.later(1200)
+    made.advance_ms(1200)
     assert (
         made.broker.registry.requests[queued].is_open
         and made.broker.loop.running
         and not client.read()
     )
-    made.later(200)
-    assert ABORTED in client.read() and TRYLATER in client.read() and b"backoff" in client.got
-    made.later(200)
+    made.advance_ms(200)
+    assert ABORTED in client.read() and TRYLATER in client.read() and b"backoff" in client.received
+    made.advance_ms(200)
     assert (
         not made.broker.loop.running
         and not made.broker.registry.in_flight
@@ -142,7 +142,7 @@
     made, new = broker_with_successor(rig, tmp_path, accepts=False)
     new.request_shutdown()
     new.loop.running = True
-    made.later(1000 * readiness.MAX_DISCOVERY_WAIT_S + 500)
+    made.advance_ms(1000 * readiness.MAX_DISCOVERY_WAIT_S + 500)
     assert not new.readiness.is_serving and not made.broker.frontend.paused and not new.loop.running
 
 
--- a/tests/hot_restart/test_peer.py
+++ b/tests/hot_restart/test_peer.py
@@ -31,12 +31,12 @@
     """The whole list was sent at every change: megabytes with thousands of endpoints."""
     made = with_engines_listed(rig, 1000, tmp_path)
     new = made.successor()
-    made.later(200)
+    made.advance_ms(200)
     link = made.broker.hot_restart.peers[0].link.connection
     before = link.sent_bytes
-    made.expect(made.board, b"watch=")
+    made.expect(made.discovery_peer, b"watch=")
     for number in range(5):
-        made.news((f"e-{number:05d}", "s-0", "DRAINING"))
+        made.publish_endpoints((f"e-{number:05d}", "s-0", "DRAINING"))
         made.until(lambda: new.endpoints.revision == made.rev)
     assert (
         link.sent_bytes - before < 5 * 500
@@ -48,9 +48,9 @@
 def test_change_that_both_know_is_not_sent_back(rig, tmp_path, monkeypatch):
     made, new = broker_with_successor(rig, tmp_path)
     received = record_messages(monkeypatch)
-    made.news(("s-0", "s-0", "DRAINING"))
+    made.publish_endpoints(("s-0", "s-0", "DRAINING"))
     made.until(lambda: new.endpoints.revision == made.rev)
-    made.later(200)
+    made.advance_ms(200)
     assert sum("notice" in each for each in received) == 1 and not any(
         "known" in each for each in received
     )
@@ -62,14 +62,14 @@
     made.broker.hot_restart.publish_watch_event(
         discovery_protocol.WatchEvent(made.rev, False, (), {}), 0
     )  # an event that the peer has already
-    made.later(200)
+    made.advance_ms(200)
     assert not posted and not any("ask" in each for each in received)
 
 
 def test_missing_change_requests_the_whole_list_once(rig, tmp_path, monkeypatch):
     made = with_engines_listed(rig, 300, tmp_path)
     new = made.successor()
-    made.later(200)
+    made.advance_ms(200)
     received, list_revisions = record_messages(monkeypatch), []
     endpoint_list = restart_host.BrokerRestartHost.endpoint_list
 
@@ -80,23 +80,23 @@
 
     monkeypatch.setattr(restart_host.BrokerRestartHost, "endpoint_list", counted)
     made.broker.endpoints.subscribe(on_watch_event=lambda *_: None)
-    made.news(("e-00001", "s-0", "DRAINING"))  # not sent to the successor
+    made.publish_endpoints(("e-00001", "s-0", "DRAINING"))  # not sent to the successor
     made.broker.endpoints.subscribe(on_watch_event=made.broker.hot_restart.publish_watch_event)
     for number in (2, 3, 4):
-        made.news((f"e-{number:05d}", "s-0", "DRAINING"))
+        made.publish_endpoints((f"e-{number:05d}", "s-0", "DRAINING"))
     made.until(lambda: new.endpoints.revision == made.rev)
     assert all(
         new.endpoints.find(f"e-{number:05d}") is None for number in (1, 2, 3, 4)
     ) and new.endpoints.find("e-00005")
     assert len(list_revisions) == 1 and sum("ask" in each for each in received) == 1
-    made.news(("e-00005", "s-0", "DRAINING"))
+    made.publish_endpoints(("e-00005", "s-0", "DRAINING"))
     made.until(lambda: new.endpoints.revision == made.rev)
     assert len(list_revisions) == 1
 
 
 def test_greeting_names_only_engines_that_are_not_listed(rig, tmp_path):
     made = with_engines_listed(rig, 50, tmp_path)
-    made.news(("e-00007", "s-0", "DELETED"))
+    made.publish_endpoints(("e-00007", "s-0", "DELETED"))
     assert greeted_as_older_successor(made, str(tmp_path / "s"))[1]["seen"] == ["e-00007"]
 
 
@@ -105,9 +105,9 @@
     peer, hello = greeted_as_older_successor(made, str(tmp_path / "s"))
     assert len(hello["known"]["notices"][0]["pool"]["instances"]) == 2001
     assert hello.keys() >= {"seen", "banned", "fresh"}
-    made.later(200)
+    made.advance_ms(200)
     for number in range(40):  # the successor reads nothing meanwhile
-        made.news((f"e-{number:05d}", "s-0", "DRAINING"))
+        made.publish_endpoints((f"e-{number:05d}", "s-0", "DRAINING"))
     link = made.broker.hot_restart.peers[0].link.connection
     assert (
         sum(len(message.encode()) for message in link.outbox) < 1_000_000
@@ -118,10 +118,12 @@
         for _ in range(50):
             peer.read()
         made.now += 0.02
-        return b'"rev":%d' % made.rev in peer.got.replace(b" ", b"") and peer.got.endswith(b"\n")
+        return b'"rev":%d' % made.rev in peer.received.replace(
+            b" ", b""
+        ) and peer.received.endswith(b"\n")
 
     made.until(newest)
-    received = [json.loads(line) for line in peer.got.splitlines()]
+    received = [json.loads(line) for line in peer.received.splitlines()]
     known = [each["known"]["notices"][0] for each in received if "known" in each]
     assert (
         not any("notice" in each for each in received)
--- a/tests/hot_restart/test_predecessor.py
+++ b/tests/hot_restart/test_predecessor.py
@@ -22,7 +22,7 @@
         made.broker.readiness.is_ready()
         and len([r for r in caplog.records if "hot_restart" in r.message]) <= 2
     )
-    made.begun()
+    made.start_request()
     assert predecessor.socket_path({}, ("127.0.0.1", 1)) is None
 
 
@@ -48,9 +48,9 @@
 
     monkeypatch.setattr(predecessor.socket, "socket", refuse_unix)
     rig = rig(1, str(tmp_path / "s"))
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     engine.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
-    assert b"a\t1\t2\n" in rig.answer(client)
+    assert b"a\t1\t2\n" in rig.read_answer(client)
     assert [
         record.getMessage().startswith("hot_restart_unavailable path=")
         for record in caplog.records
--- a/tests/hot_restart/test_successor.py
+++ b/tests/hot_restart/test_successor.py
@@ -39,7 +39,7 @@
     made = rig(1, path)
     assert made.broker.readiness.is_ready() and made.broker.hot_restart.listener.is_open
     assert sum("hot_restart" in record.message for record in caplog.records) == (fault != "stale")
-    made.begun()
+    made.start_request()
     for sock in filter(None, [before, link, None if fault == "stale" else peer]):
         sock.close()
 
--- a/tests/net/test_cost.py
+++ b/tests/net/test_cost.py
@@ -62,21 +62,21 @@
 
 def serve_statement(rig: Rig, client, engine) -> None:
     """Send one statement, which is answered with one page."""
-    rid = rig.ask(client, est="2.0", ram="8", acct="t", token="x")
+    rid = rig.send_request(client, est="2.0", ram="8", acct="t", token="x")
     rig.expect(engine, b"REQ " + rid.encode())
-    engine.got = b""
+    engine.received = b""
     engine.sock.send(f"{rid} HIT count=1 6\r\na\tb\tc\n\r\n".encode())
-    assert rid.encode() not in rig.answer(client)
+    assert rid.encode() not in rig.read_answer(client)
     rig.until(lambda: rid not in rig.broker.registry.requests)
 
 
 def test_statement_takes_a_bounded_number_of_calls(rig):
     client = rig.client()
-    first = rig.ask(client)
+    first = rig.send_request(client)
     engine = rig.accept("s-0")
     rig.expect(engine, b"REQ")
     engine.sock.send(f"{first} HIT count=1 6\r\na\tb\tc\n\r\n".encode())
-    rig.answer(client)
+    rig.read_answer(client)
     calls_by_file: Counter[str] = Counter()
     step = rig.broker.loop.step
 
@@ -183,8 +183,8 @@
     clients = [rig.client(), rig.client()]
     for peer in clients:
         peer.sock.send(execute(1, {}, b"", name="check"))
-        rig.answer(peer)
-    rig.later(1_500)
+        rig.read_answer(peer)
+    rig.advance_ms(1_500)
     assert len(rig.broker.frontend.clients) == 2
     first, second = rig.broker.frontend.clients
     held = [
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -15,9 +15,9 @@
 
 def test_broker_sends_small_writes_at_once_when_any_socket_is_open(rig):
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     rig.broker.admin.listen(("127.0.0.1", 0))
-    admin_client = rig.keep(
+    admin_client = rig.register_peer(
         Peer(socket.create_connection(rig.broker.admin.listener.sock.getsockname()))
     )
     rig.until(lambda: rig.broker.admin.sessions)
--- a/tests/pipeline/test_contracts.py
+++ b/tests/pipeline/test_contracts.py
@@ -57,7 +57,9 @@
         from umberusher import config
 
         settings = config.parse(CONF).settings
-        return rig(engines, path, gate=contracts.enforcer_factory(str(file), settings)), file
+        return rig(
+            engines, path, make_contracts=contracts.enforcer_factory(str(file), settings)
+        ), file
 
     return make
 
@@ -68,7 +70,7 @@
         {"method": "lookup", "rid": rid, "budget": "2000"} | ({"team": team} if team else {}) | more
     )
     client.sock.send(execute(number, fields, b"select * from park_1.sites"))
-    rig.later(20, 5.0)
+    rig.advance_ms(20, 5.0)
     return rid
 
 
@@ -79,7 +81,7 @@
     client, other = rig.client(), rig.client()
     for number in (1, 2, 3):
         send_request(rig, client, number, "parks")
-    answer = rig.answer(client)
+    answer = rig.read_answer(client)
     assert b"backoff" in answer and set(rig.broker.registry.requests) == {f"{1:016x}", f"{2:016x}"}
     backoff_ms = int(answer.partition(b"backoff")[2][4:].partition(b"\0")[0])
     assert 300 <= backoff_ms <= 500
@@ -94,7 +96,7 @@
     rid = send_request(rig, client, 1, "water")
     engine = rig.accept("s-0")
     rig.expect(engine, b"REQ")
-    rig.later(300)
+    rig.advance_ms(300)
     engine.sock.send(rid.encode() + b" HIT count=1 6\r\na\t1\t2\n\r\n")
     rig.until(lambda: not rig.broker.contracts.charges)
     usage = rig.broker.contracts.teams.usage_of("water")
@@ -118,7 +120,7 @@
         rig.peers.remove(client)
     elif cause == "refused":
         engine.sock.send(f"{1:016x} SHED -\r\n".encode())
-    rig.later(2_300)
+    rig.advance_ms(2_300)
     rig.until(lambda: not rig.broker.contracts.charges)
     assert rig.broker.contracts.teams.threads == 0.0 and rig.broker.contracts.teams.usage_of(
         "water"
@@ -133,11 +135,11 @@
     client = rig.client()
     for number, team in ((1, None), (2, "fire")):
         send_request(rig, client, number, team)
-        assert b"team" in rig.answer(client)
+        assert b"team" in rig.read_answer(client)
     sock = socket.create_connection(("127.0.0.1", port))
-    peer = rig.keep(Peer(sock))
+    peer = rig.register_peer(Peer(sock))
     send_request(rig, peer, 3, "parks")
-    assert b"speaks for another" in rig.answer(peer)
+    assert b"speaks for another" in rig.read_answer(peer)
     send_request(rig, peer, 4)
     assert (
         f"{4:016x}" in rig.broker.registry.requests
@@ -161,11 +163,11 @@
     )
     rig.expect(engine, b"REQ")
     engine.sock.send(rid.encode() + b" SHED -\r\n")
-    rig.later(100)
+    rig.advance_ms(100)
     assert granted and not any(granted) and rig.broker.registry.requests[rid].attempt_count == 1
     rig.broker.contracts.teams.retry_budgets.floor = 20.0
     for _ in range(40):
-        rig.later(10, 5.0)
+        rig.advance_ms(10, 5.0)
         if rig.broker.registry.requests[rid].attempt_count == 2:
             break
     assert rig.broker.contracts.teams.usage_of("water").retries == {"own": 1}
@@ -176,7 +178,7 @@
     client, other = rig.client(), rig.client()
     first = send_request(rig, client, 1, "parks", method="load", obj="k", budget="20000")
     second = send_request(rig, other, 2, "water", method="load", obj="k", budget="20000")
-    rig.later(100)
+    rig.advance_ms(100)
     requests = rig.broker.registry.requests
     assert requests[first].attempt and requests[second].attempt is None
     engine = rig.accept(requests[first].attempt.engine)
@@ -194,7 +196,7 @@
     old = rig.broker.contracts.teams.contract
     file.write_text(file.read_text().replace("share = 0.4", "share = 40", 1))
     rig.broker.request_reload()
-    rig.later(200)
+    rig.advance_ms(200)
     assert (
         rig.broker.contracts.teams.contract is old
         and "contract_kept" in caplog.text
@@ -206,11 +208,11 @@
         .replace("rate = 20, burst = 20", "rate = 1, burst = 1")
     )
     rig.broker.request_reload()
-    rig.later(200)
+    rig.advance_ms(200)
     assert rig.broker.contracts.teams.contract.teams["water"].terms["lookup"].rate == 1
     assert rig.broker.contracts.charges[rid].team is old.teams["water"]
     rig.accept("s-0").sock.close()
-    rig.later(2_300)
+    rig.advance_ms(2_300)
     rig.until(lambda: not rig.broker.contracts.charges)
     assert rig.broker.contracts.teams.threads == 0
 
@@ -223,9 +225,9 @@
     new = rig.successor()
     # The predecessor admits this request after the successor has connected to it.
     send_request(rig, client, 4, "parks", method="load", obj="k")
-    rig.later(1000 * readiness.MAX_DISCOVERY_WAIT_S + 300)
+    rig.advance_ms(1000 * readiness.MAX_DISCOVERY_WAIT_S + 300)
     rig.until(lambda: rig.broker.frontend.paused)
-    rig.later(100)
+    rig.advance_ms(100)
     old_teams, new_teams = rig.broker.contracts.teams, new.contracts.teams
     old_now_ms, new_now_ms = rig.broker.now_ms(), new.now_ms()
     team = old_teams.contract.teams["parks"]
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -14,7 +14,7 @@
 from umberusher.broker.broker import Broker
 from umberusher.net.loop import Loop
 from umberusher.net.ring import RingBuffer
-from umberusher.protocol import discovery as board
+from umberusher.protocol import discovery as discovery_protocol
 from umberusher.protocol import thrift
 
 MEMORY_MB = 20.0
@@ -29,7 +29,7 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.got = b""
+        self.received = b""
         self.ended = False
         sock.setblocking(False)
 
@@ -38,12 +38,12 @@
         try:
             data = self.sock.recv(1 << 16)
             self.ended = self.ended or not data
-            self.got += data
+            self.received += data
         except BlockingIOError:
             pass
         except OSError:
             self.ended = True
-        return self.got
+        return self.received
 
 
 class Rig:
@@ -59,11 +59,11 @@
     def __init__(
         self,
         engines: int = 1,
-        path: str | None = None,
+        handover_path: str | None = None,
         cancel: bool = False,
-        gate=None,
+        make_contracts=None,
         receipts: bool = False,
-        probes: bool = True,
+        health_checks: bool = True,
     ) -> None:
         self.now = 1_700_000_000.0
         self.listeners = {
@@ -75,34 +75,34 @@
         conf = CONF | {
             "listen": "127.0.0.1:1",
             "board": self.address("board"),
-            "known": self.notices(
+            "known": self.discovery_answer(
                 *[(f"s-{n}", f"s-{n}", "SERVING") for n in range(engines)], reset=True
             ),
         }
         parsed = config.parse(conf)
         parsed.listen = ("127.0.0.1", 0)
         parsed.settings.limits.cancellation = cancel
-        parsed.settings.limits.health_checks = probes
+        parsed.settings.limits.health_checks = health_checks
         self.broker = Broker(
             parsed,
             Loop(lambda: self.now),
             lambda: self.now,
-            handover_path=path,
+            handover_path=handover_path,
             memory_mb=lambda: self.memory_mb,
-            make_contracts=gate,
+            make_contracts=make_contracts,
             receipts=receipts,
         )
         # No health check is answered unless a test does it: no request waits for one.
         self.broker.balancer.health_checks.answered_fraction = 0.0
-        self.gate = gate
+        self.make_contracts = make_contracts
         self.brokers = [self.broker]
         self.broker.start()
-        self.board = self.accept("board")
+        self.discovery_peer = self.accept("board")
         # As if the first poll had been answered.
         self.broker.discovery.has_answered = True
         self.seqid = 0
 
-    def lean(self, engine: str) -> None:
+    def prefer_engine(self, engine: str) -> None:
         """Let the decisions hold the others for a little fuller: equals go by lot."""
         for other in self.broker.balancer.engines.values():
             other.threads_in_flight += 0.01 * (other.id != engine)
@@ -116,7 +116,7 @@
         """Return ``host:port`` of the engine or discovery service of that name."""
         return f"127.0.0.1:{self.listeners[name].getsockname()[1]}"
 
-    def notices(self, *entries, reset=False) -> dict:
+    def discovery_answer(self, *entries, reset=False) -> dict:
         self.rev += 1
         made = [
             {
@@ -136,9 +136,11 @@
             "notices": [{"rev": self.rev, "pool": {"reset": reset, "instances": made}}],
         }
 
-    def news(self, *entries) -> None:
-        body = json.dumps(self.notices(*entries)).encode()
-        self.board.sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+    def publish_endpoints(self, *entries) -> None:
+        body = json.dumps(self.discovery_answer(*entries)).encode()
+        self.discovery_peer.sock.send(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        )
         self.until(lambda: self.broker.endpoints.revision == self.rev)
 
     def step(self, ms: float) -> None:
@@ -154,7 +156,7 @@
             lambda: self.now,
             handover_path=self.broker.hot_restart.listener.path,
             memory_mb=lambda: self.memory_mb,
-            make_contracts=self.gate,
+            make_contracts=self.make_contracts,
         )
         new.balancer.health_checks.answered_fraction = 0.0
         begun = threading.Thread(target=new.start)
@@ -174,7 +176,7 @@
             steps -= 1
         raise AssertionError("it did not come to that")
 
-    def later(self, ms: float, step: float = 20.0) -> None:
+    def advance_ms(self, ms: float, step: float = 20.0) -> None:
         """Let time pass."""
         for _ in range(int(ms // step)):
             self.now += step / 1000
@@ -192,9 +194,9 @@
             return True
 
         self.until(come)
-        return self.keep(Peer(found[0]))
+        return self.register_peer(Peer(found[0]))
 
-    def keep(self, peer: Peer) -> Peer:
+    def register_peer(self, peer: Peer) -> Peer:
         """Close the peer after the test."""
         self.peers.append(peer)
         return peer
@@ -205,9 +207,9 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # small writes wait for nothing
         sock.connect(self.broker.frontend.listener.sock.getsockname())
-        return self.keep(Peer(sock))
+        return self.register_peer(Peer(sock))
 
-    def ask(self, client: Peer, method: str = "lookup", rid: str = "", **more) -> str:
+    def send_request(self, client: Peer, method: str = "lookup", rid: str = "", **more) -> str:
         self.seqid += 1
         rid = rid or f"{self.seqid:016x}"
         fields = {"method": method, "rid": rid, "budget": "2000"} | more
@@ -219,15 +221,15 @@
         """Wait until the peer has received the text."""
         self.until(lambda: text in peer.read())
 
-    def begun(self) -> tuple[Peer, str, Peer]:
+    def start_request(self) -> tuple[Peer, str, Peer]:
         """A client, the id of its request, and the engine that has it."""
         client = self.client()
-        rid = self.ask(client)
+        rid = self.send_request(client)
         engine = self.accept("s-0")
         self.expect(engine, b"REQ")
         return client, rid, engine
 
-    def answer(self, client: Peer) -> bytes:
+    def read_answer(self, client: Peer) -> bytes:
         """The next frame."""
         found = []
 
@@ -237,7 +239,7 @@
             frame = thrift.next_frame(ring)
             if frame is None:
                 return False
-            client.got = ring.take(len(ring))
+            client.received = ring.take(len(ring))
             found.append(frame)
             return True
 
@@ -251,6 +253,6 @@
         for sock in [*self.listeners.values(), *(peer.sock for peer in self.peers)]:
             sock.close()
 
-    def notice(self, *entries, reset: bool = False) -> board.WatchEvent:
+    def notice(self, *entries, reset: bool = False) -> discovery_protocol.WatchEvent:
         """The next notice, as a value."""
-        return board.watch_events(self.notices(*entries, reset=reset), 0)[0]
+        return discovery_protocol.watch_events(self.discovery_answer(*entries, reset=reset), 0)[0]
--- a/tests/upstream/life_player.py
+++ b/tests/upstream/life_player.py
@@ -37,7 +37,7 @@
     def __init__(self, rig: Rig, unsafe: bool) -> None:
         self.rig, self.state = rig, RequestState(unsafe)
         self.client = rig.client()
-        self.rid = rig.ask(
+        self.rid = rig.send_request(
             self.client,
             "load" if unsafe else "lookup",
             budget="3400",
@@ -56,7 +56,9 @@
             self.rig.step(0)
             for name in ("s-0", "s-1"):
                 try:
-                    self.engines.append(self.rig.keep(Peer(self.rig.listeners[name].accept()[0])))
+                    self.engines.append(
+                        self.rig.register_peer(Peer(self.rig.listeners[name].accept()[0]))
+                    )
                     self.engines[-1].name = name
                 except BlockingIOError:
                     pass
@@ -67,7 +69,7 @@
                 peer.reqs, self.holder = count, peer
         ring = RingBuffer(1 << 20)
         ring.write(self.client.read())
-        self.client.got = b""
+        self.client.received = b""
         while (frame := thrift.next_frame(ring)) is not None:
             if b"backoff" in frame:
                 self.answers.append(Outcome.REJECTED)
@@ -75,7 +77,7 @@
                 self.answers.append(Outcome.FAILED)
             else:
                 self.answers.append(Outcome.SERVED)
-        self.client.got = ring.take(len(ring))
+        self.client.received = ring.take(len(ring))
 
     def settle(self) -> None:
         """Poll several times: held requests are retried on the ticks of the decisions."""
@@ -102,10 +104,10 @@
             else:
                 self.client.sock.send(interrupt(self.rig.seqid))
         elif event is Event.DEADLINE:
-            self.rig.later(3_500, 10.0)
+            self.rig.advance_ms(3_500, 10.0)
             self.time_has_passed = True
         elif event is Event.PAGES_STOPPED:
-            self.rig.later(1_700, 10.0)
+            self.rig.advance_ms(1_700, 10.0)
             self.time_has_passed = True
         elif event is Event.STALL:
             self.rig.now += 0.1
@@ -113,7 +115,7 @@
             if holder is None or holder.ended or self.time_has_passed:
                 # After a deadline the discovery connection was silent for long and was replaced.
                 return False
-            self.rig.news((holder.name, holder.name, "DRAINING"))
+            self.rig.publish_endpoints((holder.name, holder.name, "DRAINING"))
         elif event is Event.CONNECTION_RESET:
             if holder is None or holder.ended:
                 return False
--- a/tests/upstream/test_attempts.py
+++ b/tests/upstream/test_attempts.py
@@ -42,7 +42,7 @@
     """
     rig = rig(2)
     client = rig.client()
-    rid = rig.ask(client)
+    rid = rig.send_request(client)
     first = rig.broker.registry.requests[rid].attempt
     rig.until(lambda: first.progress >= 3)
     rig.now += 0.3
@@ -67,7 +67,7 @@
     clients = [rig.client() for _ in range(100)]
     choose = rig.broker.balancer.choice.choose
     rig.broker.balancer.choice.choose = lambda request, now_ms: None  # all requests are held
-    rids = [rig.ask(client) for client in clients]
+    rids = [rig.send_request(client) for client in clients]
     rig.now += 0.3
     for number, client in enumerate(clients[:-1]):
         if number % 2:
@@ -79,10 +79,10 @@
     for action in rig.broker.balancer.handle(0.0, TimerFired("tick")):
         if isinstance(action, StartAttempt):
             rig.broker.action_handlers[StartAttempt](action)
-    rig.later(100)
+    rig.advance_ms(100)
     engine = rig.accept("s-0")
     rig.expect(engine, rids[-1].encode())
-    assert engine.got.count(b"REQ") == 1
+    assert engine.received.count(b"REQ") == 1
 
 
 def test_engine_connection_sends_nothing_when_client_disconnects_while_it_connects(rig):
@@ -94,7 +94,7 @@
     # The connection is not established yet.
     connection.Connection._check_connected = lambda self: connecting.append(self)
     try:
-        rid = rig.ask(client)
+        rid = rig.send_request(client)
         rig.until(lambda: connecting)
     finally:
         connection.Connection._check_connected = real
@@ -103,7 +103,7 @@
     connecting[0]._check_connected()
     assert rid not in rig.broker.registry.requests
     engine = rig.accept("s-0")
-    rig.later(100)
+    rig.advance_ms(100)
     assert b"REQ" not in engine.read()
 
 
@@ -115,7 +115,7 @@
     waiting, connect_all = delayed_connects
     rig = rig()
     broker, client = rig.broker, rig.client()
-    rid = rig.ask(client, method, **({"obj": "k"} if method == "load" else {}))
+    rid = rig.send_request(client, method, **({"obj": "k"} if method == "load" else {}))
     attempt = broker.registry.requests[rid].attempt
     rig.until(lambda: waiting)
     rig.now += 0.1
@@ -145,8 +145,8 @@
     if event in ("leaves", "cancels"):
         assert rid not in broker.registry.requests and not client.read()
     if event == "late":
-        assert b"backoff" in rig.answer(client) and not broker.registry.requests
-    rig.later(100)
+        assert b"backoff" in rig.read_answer(client) and not broker.registry.requests
+    rig.advance_ms(100)
     first = rig.accept("s-0")
     assert b"REQ" not in first.read()
     if event in ("moved", "elsewhere"):
@@ -159,9 +159,9 @@
     waiting, connect_all = delayed_connects
     rig = rig(3)
     client = rig.client()
-    rid = rig.ask(client)
+    rid = rig.send_request(client)
     for _ in range(130):  # until its deadline has passed
-        rig.later(20)
+        rig.advance_ms(20)
         assert (
             sum(
                 len(each.attempts)
@@ -172,13 +172,13 @@
         )
         if rid not in rig.broker.registry.requests:
             break
-    assert b"backoff" in rig.answer(client) and not client.got
+    assert b"backoff" in rig.read_answer(client) and not client.received
     connect_all()
-    rig.later(100)
+    rig.advance_ms(100)
     for name in ("s-0", "s-1", "s-2"):
         while True:
             try:
-                engine = rig.keep(Peer(rig.listeners[name].accept()[0]))
+                engine = rig.register_peer(Peer(rig.listeners[name].accept()[0]))
             except BlockingIOError:
                 break
             assert b"REQ" not in engine.read()
@@ -189,7 +189,7 @@
 def test_non_idempotent_attempt_fails_once_when_its_connection_resets(rig, moment, shutting_down):
     rig = rig(2)
     client = rig.client()
-    rid = rig.ask(client, "load", obj="k", budget="20000")
+    rid = rig.send_request(client, "load", obj="k", budget="20000")
     engine = rig.accept(rig.broker.registry.requests[rid].attempt.engine)
     rig.expect(engine, b"park_1.sites\r\n")
     if shutting_down:
@@ -199,19 +199,19 @@
         engine.sock.send(f"{rid} HIT count=2 6\r\na\t1\t2\n\r\n".encode())
         rig.expect(engine, b"FETCH")
     elif moment == "long after":
-        rig.later(1500 if shutting_down else 3000)
+        rig.advance_ms(1500 if shutting_down else 3000)
     engine.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     engine.sock.close()
-    assert struct.pack(">bh", 12, 2) in rig.answer(client)  # Aborted
-    rig.later(1000)
+    assert struct.pack(">bh", 12, 2) in rig.read_answer(client)  # Aborted
+    rig.advance_ms(1000)
     assert (
-        not client.got
+        not client.received
         and rig.broker.registry.outcome_counts["failed"] == 1
         and not rig.broker.registry.requests
     )
     for name in ("s-0", "s-1"):
         try:
-            assert b"REQ" not in rig.keep(Peer(rig.listeners[name].accept()[0])).read()
+            assert b"REQ" not in rig.register_peer(Peer(rig.listeners[name].accept()[0])).read()
         except BlockingIOError:
             pass
 
@@ -222,20 +222,20 @@
     That late reply used to end the new attempt.
     """
     rig = rig()
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     engine.sock.send(f"{rid} SHED - 0\r\n\r\n".encode())
     rig.until(lambda: rig.broker.registry.outcome_counts["attempt full"])
-    rig.later(400)
+    rig.advance_ms(400)
     rig.until(
         lambda: (each := rig.broker.registry.requests[rid].attempt)
         and each.number == 1
         and each.progress >= 3
     )
     engine.sock.send(f"{rid} FAULT - 0\r\n\r\n".encode())
-    rig.later(100)
+    rig.advance_ms(100)
     attempt = rig.broker.registry.requests[rid].attempt
     assert attempt and attempt.number == 1
     other = rig.accept("s-0")
     rig.expect(other, f"REQ {rid}".encode())
     other.sock.send(f"{rid} HIT count=1 6\r\na\t1\t2\n\r\n".encode())
-    assert b"a\t1\t2\n" in rig.answer(client)
+    assert b"a\t1\t2\n" in rig.read_answer(client)
--- a/tests/upstream/test_cancellation.py
+++ b/tests/upstream/test_cancellation.py
@@ -39,12 +39,12 @@
 
 
 def last_ping_tag(engine) -> bytes:
-    return engine.got.rpartition(b"HELO ")[2].split(b"\r\n")[0]
+    return engine.received.rpartition(b"HELO ")[2].split(b"\r\n")[0]
 
 
 def cancelled_request(rig):
     """Send a request to an engine, then the client's interrupt; return them with later events."""
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     events = record_events(rig)
     client.sock.send(interrupt(rig.seqid))
     rig.expect(engine, b"STOP " + rid.encode() + b"\r\nHELO ")
@@ -76,40 +76,44 @@
         engine.sock.close()
         rig.peers.remove(engine)
     elif resolution == "nothing":
-        rig.later(CANCEL_TIMEOUT_MS + 20)
+        rig.advance_ms(CANCEL_TIMEOUT_MS + 20)
     else:
         engine.sock.send(rid + b" %s -\r\n" % resolution.encode())
     rig.until(lambda: rid.decode() not in rig.broker.registry.requests)
-    rig.later(400)
+    rig.advance_ms(400)
     assert attempt_endings(events) == [
         (ending, True)
     ] and rig.broker.registry.account.cancel_outcomes == {outcome: 1}
-    assert not client.read() and engine.got.count(b"STOP") == 1
+    assert not client.read() and engine.received.count(b"STOP") == 1
 
 
 def test_cancellation_releases_result_when_it_overtook_the_cancel(rig):
     for cancel in (True, False):
         made = rig(1, cancel=cancel)
-        client, rid, engine = made.begun()
+        client, rid, engine = made.start_request()
         client.sock.send(interrupt(made.seqid))
         made.expect(engine, b"STOP ")
         engine.sock.send(rid.encode() + b" HIT count=3 6\r\na\t1\t2\n\r\n")
         made.expect(engine, b"END " + rid.encode())
-        made.later(400)
-        assert engine.got.count(b"END") == 1 and b"FETCH" not in engine.got and not client.read()
+        made.advance_ms(400)
+        assert (
+            engine.received.count(b"END") == 1
+            and b"FETCH" not in engine.received
+            and not client.read()
+        )
 
 
 def test_cancellation_confirms_all_cancels_when_one_ping_is_answered(rig):
     rig = rig(1, cancel=True)
     client = rig.client()
-    rids = [rig.ask(client) for _ in range(5)]
+    rids = [rig.send_request(client) for _ in range(5)]
     engine = rig.accept("s-0")
     rig.until(lambda: engine.read().count(b"REQ") == 5)
     events = record_events(rig)
     for seqid in (1, 2, 3):
         client.sock.send(interrupt(seqid))
     rig.until(lambda: engine.read().count(b"STOP") == 3)
-    assert engine.got.count(b"HELO") == 1
+    assert engine.received.count(b"HELO") == 1
     # This answer proves the first STOP; the next ping is written after the others.
     engine.sock.send(last_ping_tag(engine) + b" PONG -\r\n")
     rig.until(lambda: engine.read().count(b"HELO") == 2)
@@ -123,7 +127,7 @@
 
 def test_cancellation_serves_result_when_its_client_still_waits(rig):
     rig = rig(1, cancel=True)
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     events = record_events(rig)
     attempt = rig.broker.registry.requests[rid].attempt
     # As when the decisions want to retry the request at another engine.
@@ -134,7 +138,7 @@
     engine.sock.send(rid.encode() + b" HIT count=2 6\r\na\t1\t2\n\r\n")
     rig.expect(engine, b"FETCH " + rid.encode() + b" 1")
     engine.sock.send(rid.encode() + b" PART pos=1 6\r\nb\t1\t2\n\r\n")
-    assert b"a\t1\t2\nb\t1\t2\n" in rig.answer(client)
+    assert b"a\t1\t2\nb\t1\t2\n" in rig.read_answer(client)
     assert (
         attempt_endings(events) == [(AttemptOutcome.SUCCEEDED, True)]
         and rig.broker.registry.account.wasted_work_ms == 0
@@ -144,15 +148,15 @@
 def test_attempt_ends_at_deadline_when_its_cancel_is_unconfirmed(rig):
     rig = rig(1, cancel=True)
     client = rig.client()
-    rig.ask(client, "load", obj="k")
+    rig.send_request(client, "load", obj="k")
     engine = rig.accept("s-0")
     rig.expect(engine, b"REQ")
     events = record_events(rig)
-    rig.later(1_990, 10.0)
+    rig.advance_ms(1_990, 10.0)
     while not attempt_endings(events):
-        rig.later(1.0, 1.0)
+        rig.advance_ms(1.0, 1.0)
     # The request is ended and answered before the engine can have read a STOP.
-    assert b"STOP" not in engine.got and client.read()
+    assert b"STOP" not in engine.received and client.read()
     rig.expect(engine, b"STOP")
     engine.sock.send(last_ping_tag(engine) + b" PONG -\r\n")
     rig.until(lambda: rig.broker.registry.account.cancel_outcomes == {"CANCELLED": 1})
@@ -161,16 +165,16 @@
 
 def test_cancellation_sends_no_ping_when_settings_forbid_cancellation(rig):
     rig = rig(2)
-    rig.lean("s-0")
-    client, rid, engine = rig.begun()
+    rig.prefer_engine("s-0")
+    client, rid, engine = rig.start_request()
     events = record_events(rig)
     client.sock.send(interrupt(rig.seqid))
     rig.expect(engine, b"STOP")
     assert attempt_endings(events) == [(AttemptOutcome.CANCELLED, True)]
-    rig.later(300)
+    rig.advance_ms(300)
     assert (
         b"HELO" not in engine.read()
-        and engine.got.count(b"REQ") == 1
+        and engine.received.count(b"REQ") == 1
         and not rig.broker.registry.account.cancel_outcomes
     )
 
@@ -181,21 +185,21 @@
 
     Found in a review for the second site, whose engines do so.
     """
-    rig = rig(2, cancel=True, receipts=receipts, probes=False)
-    rig.lean("s-0")
-    client, rid, engine = rig.begun()
+    rig = rig(2, cancel=True, receipts=receipts, health_checks=False)
+    rig.prefer_engine("s-0")
+    client, rid, engine = rig.start_request()
     events = record_events(rig)
     attempt = rig.broker.registry.requests[rid].attempt
     # As when the decisions cancel an attempt because its query plan seems bad.
     rig.broker.upstream.attempts.give_up(attempt, AttemptOutcome.CANCELLED)
     rig.expect(engine, b"STOP")
     assert not attempt_endings(events)
-    rig.later(CANCEL_TIMEOUT_MS + 100, 10.0)
+    rig.advance_ms(CANCEL_TIMEOUT_MS + 100, 10.0)
     assert attempt_endings(events) == [(AttemptOutcome.CANCELLED, False)]
     assert (
         b"HELO" not in engine.read()
-        and b"STAT" not in engine.got
-        and engine.got.count(b"STOP") == 1
+        and b"STAT" not in engine.received
+        and engine.received.count(b"STOP") == 1
     )
     assert rig.broker.registry.account.cancel_outcomes["UNKNOWN"] == 1
 
@@ -211,9 +215,9 @@
         1, {"method": "lookup", "rid": "a" * 16, "budget": "2000"}, b"select * from park_1.sites"
     )
     client.sock.send(call + interrupt(1))
-    rig.later(300)
+    rig.advance_ms(300)
     engine = rig.accept("s-0")  # a connection may have been opened; no request is sent on it
-    rig.later(100)
+    rig.advance_ms(100)
     assert b"REQ" not in engine.read() and not rig.broker.registry.requests and not client.read()
     assert sum(rig.broker.registry.account.disconnected.values()) == 1
 
@@ -221,21 +225,21 @@
 @pytest.mark.parametrize("cancel", [False, True])
 def test_non_idempotent_request_is_not_retried_when_client_disconnects(rig, cancel):
     rig = rig(2, cancel=cancel)
-    rig.lean("s-0")
+    rig.prefer_engine("s-0")
     client, other = rig.client(), rig.client()
-    first = rig.ask(client, "load", obj="k", budget="20000")
+    first = rig.send_request(client, "load", obj="k", budget="20000")
     engine = rig.accept("s-0")
     rig.expect(engine, b"REQ " + first.encode())
-    following = rig.ask(other, "load", obj="k", budget="20000")
+    following = rig.send_request(other, "load", obj="k", budget="20000")
     client.sock.close()
     rig.expect(engine, b"STOP " + first.encode())
     if cancel:
         engine.sock.send(last_ping_tag(engine) + b" PONG -\r\n")
     rig.until(lambda: first not in rig.broker.registry.requests)
-    rig.later(460, 10.0)
+    rig.advance_ms(460, 10.0)
     # The first query may still run: the next attempt waits for 500 ms.
     assert rig.broker.registry.requests[following].attempt is None
-    rig.later(160, 10.0)  # held queries are retried every 100 ms in light traffic
+    rig.advance_ms(160, 10.0)  # held queries are retried every 100 ms in light traffic
     rig.until(lambda: rig.broker.registry.requests[following].attempt)
     assert engine.read().count(first.encode()) == 2  # its REQ and its STOP
 
@@ -246,7 +250,7 @@
     An end of input therefore means that the client has disconnected.
     """
     rig = rig(1)
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     client.sock.shutdown(socket.SHUT_WR)
     rig.until(lambda: rid not in rig.broker.registry.requests)
     rig.expect(engine, b"STOP")
@@ -254,18 +258,18 @@
 
 def test_request_ends_once_when_result_and_cancel_cross(rig):
     rig = rig(1, cancel=True)
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     events = record_events(rig)
     engine.sock.send(rid.encode() + HIT)
     client.sock.send(interrupt(rig.seqid))  # both are in the kernel's buffers when the broker polls
     rig.until(lambda: attempt_endings(events))
-    rig.later(400)
+    rig.advance_ms(400)
     assert len(attempt_endings(events)) == 1 and not rig.broker.registry.requests
 
 
 def test_result_is_released_once_when_client_resets_between_pages(rig):
     rig = rig(1, cancel=True)
-    client, rid, engine = rig.begun()
+    client, rid, engine = rig.start_request()
     events = record_events(rig)
     engine.sock.send(rid.encode() + b" HIT count=3 6\r\na\t1\t2\n\r\n")
     rig.expect(engine, b"FETCH")
@@ -274,9 +278,9 @@
     rig.peers.remove(client)
     rig.expect(engine, b"END " + rid.encode())
     engine.sock.send(rid.encode() + b" PART pos=1 6\r\nb\t1\t2\n\r\n")
-    rig.later(400)
+    rig.advance_ms(400)
     assert attempt_endings(events) == [(AttemptOutcome.CANCELLED, True)]
-    assert engine.read().count(b"END") == 1 and b"STOP" not in engine.got
+    assert engine.read().count(b"END") == 1 and b"STOP" not in engine.received
     assert rig.broker.registry.account.disconnected == {"pages": 1}
 
 
@@ -294,27 +298,27 @@
             b"select * from park_1.sites",
         )
     )
-    answer = rig.answer(client)
+    answer = rig.read_answer(client)
     assert expected_error is None or expected_error.encode() in answer
-    rig.later(100)
+    rig.advance_ms(100)
     assert rig.broker.registry.attempts_sent == 0 and not rig.broker.registry.requests
 
 
 def test_work_is_cancelled_once_when_client_disconnects_after_hot_restart(rig, tmp_path):
     rig = rig(1, str(tmp_path / "s"), cancel=True)
     client = rig.client()
-    rid = rig.ask(client, "load", obj="k", budget="25000")
+    rid = rig.send_request(client, "load", obj="k", budget="25000")
     engine = rig.accept("s-0")
     rig.expect(engine, b"REQ")
     new = rig.successor()
-    rig.later(1000 * readiness.MAX_DISCOVERY_WAIT_S + 300)
+    rig.advance_ms(1000 * readiness.MAX_DISCOVERY_WAIT_S + 300)
     rig.until(lambda: rig.broker.frontend.paused)
     rig.broker.request_shutdown()
     rig.broker.loop.running = True
-    rig.later(200)
+    rig.advance_ms(200)
     client.sock.close()
     rig.expect(engine, b"STOP " + rid.encode())
-    rig.later(CANCEL_TIMEOUT_MS + 100)
+    rig.advance_ms(CANCEL_TIMEOUT_MS + 100)
     assert (
         engine.read().count(b"STOP") == 1
         and not rig.broker.registry.in_flight
@@ -327,15 +331,15 @@
 
 def test_request_end_event_covers_all_attempts(rig):
     rig = rig(2)
-    rig.lean("s-0")
+    rig.prefer_engine("s-0")
     emitted = []
     rig.broker.registry.account.emit_event = emitted.append
-    client, rid, engine = rig.begun()
-    rig.later(200)
+    client, rid, engine = rig.start_request()
+    rig.advance_ms(200)
     engine.sock.send(rid.encode() + b" SHED -\r\n")
     second = rig.accept("s-1")
     rig.expect(second, b"REQ")
-    rig.later(500)
+    rig.advance_ms(500)
     client.sock.close()
     rig.until(lambda: emitted)
     (event,) = emitted
@@ -357,7 +361,7 @@
     client = rig.client()
     engine = None
     for _ in range(300):
-        rid = rig.ask(client)
+        rid = rig.send_request(client)
         engine = engine or rig.accept("s-0")
         rig.expect(engine, b"REQ " + rid.encode())
         engine.sock.send(rid.encode() + HIT)
@@ -371,14 +375,14 @@
 def test_connection_closes_at_deadline_when_receipt_is_overdue(rig, receipt):
     rig = rig(1, receipts=True)
     client = rig.client()
-    rid = rig.ask(client, budget="400")
+    rid = rig.send_request(client, budget="400")
     engine = rig.accept("s-0")
     rig.expect(engine, b"HELO r")
-    assert engine.got.index(b"REQ " + rid.encode()) < engine.got.index(b"HELO r")
+    assert engine.received.index(b"REQ " + rid.encode()) < engine.received.index(b"HELO r")
     if receipt:
         engine.sock.send(last_ping_tag(engine) + b" PONG -\r\n")
         rig.until(lambda: rig.broker.registry.requests[rid].attempt.receipt_ms)
-    rig.later(500)
+    rig.advance_ms(500)
     rig.until(lambda: rid not in rig.broker.registry.requests)
     engine.read()
-    assert engine.ended is not receipt and (b"STOP" in engine.got) is receipt
+    assert engine.ended is not receipt and (b"STOP" in engine.received) is receipt
--- a/tests/upstream/test_deployment_terms.py
+++ b/tests/upstream/test_deployment_terms.py
@@ -14,7 +14,7 @@
     """Return a rig whose engines support priorities or not, a sent request, and its engine."""
     rig = rig()
     rig.broker.config.settings.limits.set_priority = supported
-    _, rid, engine = rig.begun()
+    _, rid, engine = rig.start_request()
     rig.expect(engine, b"park_1.sites\r\n")
     return rig, rid, engine
 
@@ -25,7 +25,7 @@
     for _ in range(3):
         rig.broker.action_handlers[SetPriority](SetPriority(rid, 0.0, 0))
     rig.expect(engine, f"NICE {rid} 0\r\n".encode())
-    rig.later(100)
+    rig.advance_ms(100)
     assert engine.read().count(b"NICE") == 1
     # For a request that is not open it has no effect.
     rig.broker.action_handlers[SetPriority](SetPriority("f" * 16, 0.0, 2))
@@ -69,7 +69,7 @@
 
 def test_request_keeps_its_tenant(rig):
     rig = rig()
-    rid = rig.ask(rig.client(), acct="kosar")
+    rid = rig.send_request(rig.client(), acct="kosar")
     assert rig.broker.registry.requests[rid].arrival.tenant == "kosar"
 
 
@@ -80,7 +80,7 @@
     The whole day of that trial had to be discarded.
     """
     rig = rig()
-    rid = rig.ask(rig.client(), token=token)
+    rid = rig.send_request(rig.client(), token=token)
     rig.expect(rig.accept("s-0"), f"REQ {rid} lane=lookup,ttl=1949,dedupe={token} 26\r\n".encode())
 
 
@@ -90,4 +90,4 @@
     client = rig.client()
     fields = {"method": "lookup", "rid": "1" * 16, "budget": "900", "token": token}
     client.sock.send(execute(1, fields, b"select 1"))
-    assert b"field token" in rig.answer(client) and not rig.broker.registry.requests
+    assert b"field token" in rig.read_answer(client) and not rig.broker.registry.requests
--- a/tests/upstream/test_random_crossings.py
+++ b/tests/upstream/test_random_crossings.py
@@ -90,7 +90,7 @@
                 self.rig.broker.close()
             for name in ENGINES:
                 try:
-                    peer = self.rig.keep(Peer(self.rig.listeners[name].accept()[0]))
+                    peer = self.rig.register_peer(Peer(self.rig.listeners[name].accept()[0]))
                 except BlockingIOError:
                     continue
                 peer.name = name
@@ -103,10 +103,10 @@
 
     def read_engine(self, peer):
         peer.read()
-        while (found := REQUEST_LINE.search(peer.got)) and len(peer.got) >= found.end() + int(
-            found[3]
-        ) + 2:
-            peer.got = peer.got[found.end() + int(found[3]) + 2 :]
+        while (found := REQUEST_LINE.search(peer.received)) and len(
+            peer.received
+        ) >= found.end() + int(found[3]) + 2:
+            peer.received = peer.received[found.end() + int(found[3]) + 2 :]
             call = self.calls[found[1].decode()]
             assert (
                 call.left_ms is None or self.now_ms - call.left_ms <= MAX_SEND_AFTER_DISCONNECT_MS
@@ -119,7 +119,10 @@
             ), "sent to an engine that drains"
             call.holder, call.ran = peer, True
         for call in [call for call in self.calls.values() if call.holder is peer]:
-            if f"STOP {call.rid}".encode() in peer.got or f"END {call.rid}".encode() in peer.got:
+            if (
+                f"STOP {call.rid}".encode() in peer.received
+                or f"END {call.rid}".encode() in peer.received
+            ):
                 call.holder = None
 
     def read_client(self, caller):
@@ -136,7 +139,7 @@
             ), "an answer too many"
             if b"backoff" in frame:
                 assert not (call.load and call.ran), "refused what may have run"
-        caller.peer.got = ring.take(len(ring))
+        caller.peer.received = ring.take(len(ring))
         if caller.peer.ended:
             owed = [
                 call for call in caller.calls.values() if not call.answers and call.left_ms is None
--- a/tests/upstream/test_retry_budget.py
+++ b/tests/upstream/test_retry_budget.py
@@ -68,7 +68,9 @@
         before = len(self.engines)
         for name in self.names:
             try:
-                self.engines.append(self.rig.keep(Peer(self.rig.listeners[name].accept()[0])))
+                self.engines.append(
+                    self.rig.register_peer(Peer(self.rig.listeners[name].accept()[0]))
+                )
             except BlockingIOError:
                 pass
         return len(self.engines) - before
@@ -76,11 +78,11 @@
     def _serve_engine(self, engine: Peer) -> int:
         count = 0
         engine.read()
-        while (found := REQUEST_LINE.search(engine.got)) and len(engine.got) >= found.end() + int(
-            found[2]
-        ) + 2:
-            statement = engine.got[found.end() : found.end() + int(found[2])]
-            engine.got = engine.got[found.end() + int(found[2]) + 2 :]
+        while (found := REQUEST_LINE.search(engine.received)) and len(
+            engine.received
+        ) >= found.end() + int(found[2]) + 2:
+            statement = engine.received[found.end() : found.end() + int(found[2])]
+            engine.received = engine.received[found.end() + int(found[2]) + 2 :]
             count += 1
             self._answer(engine, found[1].decode(), b"bad" in statement)
         return count
