--- a/tests/admin/test_manual_drains.py
+++ b/tests/admin/test_manual_drains.py
@@ -46,7 +46,7 @@
         rig.expect(rig.accept(other), f"REQ {rid} ".encode())
 
 
-def test_recalled_engine_starts_afresh_on_a_new_connection(rig):
+def test_engine_is_reset_and_gets_a_new_connection_when_its_manual_drain_ends(rig):
     rig = rig()
     _, _, first = rig.start_request()
     engine = rig.broker.balancer.engines["s-0"]
--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -456,7 +456,7 @@
     rig.read_answer(client)
     (connection,) = rig.broker.upstream.pool.by_engine["s-0"]
     connection.health_checks.clear()
-    engine.sock.close()  # the loop has not seen it when the next request comes
+    engine.sock.close()  # the event loop has not read the close when the next request arrives
     client.sock.send(
         execute(9, {"method": "load", "rid": "9" * 16, "budget": "900", "obj": "k"}, b"select 1")
     )
--- a/tests/broker/test_many_engines.py
+++ b/tests/broker/test_many_engines.py
@@ -11,7 +11,7 @@
 from umberusher.endpoints import manual_drains
 
 
-def many(rig, count: int, state: str = "SERVING", reset: bool = False):
+def engines_event(rig, count: int, state: str = "SERVING", reset: bool = False):
     """Return a watch event with ``count`` engines, all at one address."""
     return rig.notice(*[(f"e-{number:05d}", "s-0", state) for number in range(count)], reset=reset)
 
@@ -20,13 +20,13 @@
 def test_long_list_loads_and_changes_without_an_engine_left_out(rig, count):
     rig = rig()
     broker = rig.broker
-    broker.endpoints.apply(many(rig, count, reset=True))
+    broker.endpoints.apply(engines_event(rig, count, reset=True))
     assert len(broker.endpoints.directory) == len(broker.balancer.up) == count
-    broker.endpoints.apply(many(rig, count // 2, "DRAINING"))
+    broker.endpoints.apply(engines_event(rig, count // 2, "DRAINING"))
     assert len(broker.balancer.up) == count - count // 2
-    broker.endpoints.apply(many(rig, count // 2, "DELETED"))
+    broker.endpoints.apply(engines_event(rig, count // 2, "DELETED"))
     assert len(broker.endpoints.directory) == len(broker.balancer.engines) == count - count // 2
-    broker.endpoints.apply(many(rig, count, reset=True))
+    broker.endpoints.apply(engines_event(rig, count, reset=True))
     assert len(broker.balancer.up) == count
     known = config.parse(
         CONF | {"known": json.loads("".join(broker.restart_host.endpoint_list()))}
@@ -36,7 +36,7 @@
 
 def test_successor_receives_a_long_list_complete(rig, tmp_path):
     old = rig(1, handover_path=str(tmp_path / "b.sock"))
-    old.broker.endpoints.apply(many(old, 5000))
+    old.broker.endpoints.apply(engines_event(old, 5000))
     new = old.successor()
     assert (
         new.endpoints.directory.keys() == old.broker.endpoints.directory.keys()
--- a/tests/broker/test_memory_pressure.py
+++ b/tests/broker/test_memory_pressure.py
@@ -1,4 +1,4 @@
-"""What is admitted while memory is short."""
+"""Admission of requests under memory pressure."""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of all tests: a rig that is closed after its test, and the program's log level."""
+"""Fixtures of all tests: rigs that are closed after the test, and the program's log level."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture(autouse=True)
 def program_log_level():
-    """Restore the log level: replays and scale runs in this process raise it for the rest."""
+    """Restore the log level after each test: replays and scale runs in this process raise it."""
     logger = logging.getLogger("umberusher")
     level = logger.level
     yield
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def rig():
-    """A function that makes a rig; all of them are closed after the test."""
+    """Return a function that makes a rig; all rigs are closed after the test."""
     made = []
 
     def make(
--- a/tests/discovery/conftest.py
+++ b/tests/discovery/conftest.py
@@ -1,3 +1,5 @@
+"""Fixture of the discovery tests: clients with scripted services, closed after the test."""
+
 from __future__ import annotations
 
 import pytest
@@ -7,6 +9,7 @@
 
 @pytest.fixture
 def scripted():
+    """Return a function that starts a discovery client with a scripted service."""
     created = []
 
     def make(*args, **kwargs) -> ScriptedDiscovery:
--- a/tests/discovery/test_broker_discovery.py
+++ b/tests/discovery/test_broker_discovery.py
@@ -1,7 +1,7 @@
 """Tests of a broker on sockets with a discovery service that fails.
 
-Guards against a missed drain, after which the broker would go on using a drained engine, and against
-a broker that becomes ready late or polls in a loop.
+Guards against a missed drain, after which the broker would continue using a drained engine, and
+against a broker that becomes ready late or polls in a loop.
 """
 
 from __future__ import annotations
--- a/tests/frontend/test_client_disconnect.py
+++ b/tests/frontend/test_client_disconnect.py
@@ -70,11 +70,11 @@
     )
     assert not rig.broker.balancer.requests and rig.broker.registry.outcome_counts["refused"] == 1
     answers = 1 + MAX_DEFERRED_CALLS  # the rejection, and an exception for each deferred call
-    got = b""
+    received = b""
     for _ in range(4000):
         rig.step(0)
         client.received = b""
-        got += client.read()
-        if got.count(b"\x80\x01\x00\x03") == MAX_DEFERRED_CALLS and b"backoff" in got:
+        received += client.read()
+        if received.count(b"\x80\x01\x00\x03") == MAX_DEFERRED_CALLS and b"backoff" in received:
             break
-    assert got.count(b"\x80\x01") == answers
+    assert received.count(b"\x80\x01") == answers
--- a/tests/frontend/test_descriptors.py
+++ b/tests/frontend/test_descriptors.py
@@ -33,14 +33,14 @@
 
 def read_until(sock: socket.socket, mark: bytes, seconds: float) -> bytes:
     """Return the input up to the mark; empty if the mark does not arrive in time."""
-    got, end = b"", time.monotonic() + seconds
-    while mark not in got and time.monotonic() < end:
+    received, end = b"", time.monotonic() + seconds
+    while mark not in received and time.monotonic() < end:
         if select.select([sock], [], [], 0.1)[0]:
             chunk = sock.recv(1 << 16)
             if not chunk:
                 break
-            got += chunk
-    return got if mark in got else b""
+            received += chunk
+    return received if mark in received else b""
 
 
 def test_process_reaches_discovery_and_engines_when_idle_clients_fill_its_descriptors(
@@ -87,7 +87,7 @@
         )
         idle: list[socket.socket] = []
         try:
-            assert process.stderr.readline()  # it listens
+            assert process.stderr.readline()  # the process listens
             for _ in range(3 * MAX_SOCKETS):
                 idle.append(stack.enter_context(socket.create_connection(listen, 5)))
             time.sleep(0.2)
--- a/tests/hot_restart/processes.py
+++ b/tests/hot_restart/processes.py
@@ -72,7 +72,7 @@
 
 
 def greeted_as_older_successor(rig, path) -> tuple[Peer, dict]:
-    """Return a successor of an older version, played by the test, and the greeting it receives."""
+    """Return a simulated successor of an older version, and the greeting that it receives."""
     link = socket.socket(socket.AF_UNIX)
     link.connect(path)
     rig.until(lambda: rig.broker.hot_restart.peers)
--- a/tests/hot_restart/test_successor.py
+++ b/tests/hot_restart/test_successor.py
@@ -16,12 +16,12 @@
 ):
     monkeypatch.setattr(successor, "GREETING_TIMEOUT_S", 0.1)
     path = str(tmp_path / "s")
-    before = socket.socket(socket.AF_UNIX)
-    before.bind(path)
+    predecessor_listener = socket.socket(socket.AF_UNIX)
+    predecessor_listener.bind(path)
     if fault == "stale":
-        before.close()
+        predecessor_listener.close()
     else:
-        before.listen(1)
+        predecessor_listener.listen(1)
         peer = socket.socket(socket.AF_UNIX)
     link = None
     if fault in ("garbage", "half", "list"):
@@ -30,8 +30,8 @@
 
         def answer(sock, *more):
             nonlocal link
-            link, _ = before.accept()
-            socket.send_fds(link, [b"L"], [before.fileno()])
+            link, _ = predecessor_listener.accept()
+            socket.send_fds(link, [b"L"], [predecessor_listener.fileno()])
             link.send(text)
             return real_recv_fds(sock, *more)
 
@@ -40,7 +40,7 @@
     assert made.broker.readiness.is_ready() and made.broker.hot_restart.listener.is_open
     assert sum("hot_restart" in record.message for record in caplog.records) == (fault != "stale")
     made.start_request()
-    for sock in filter(None, [before, link, None if fault == "stale" else peer]):
+    for sock in filter(None, [predecessor_listener, link, None if fault == "stale" else peer]):
         sock.close()
 
 
--- a/tests/pipeline/test_contracts.py
+++ b/tests/pipeline/test_contracts.py
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def rig_with_contract(rig, tmp_path):
-    """A function that makes a rig whose broker enforces a contract, and the contract's file."""
+    """Return a function that makes a rig whose broker enforces a contract, and its file."""
 
     def make(engines: int = 1, path: str | None = None, text: str = SMALL_CONTRACT, port: int = 0):
         file = tmp_path / "teams.star"
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A broker on loopback sockets; a test plays its discovery service, engines and clients."""
+"""A broker on loopback sockets; a test simulates its discovery service, engines and clients."""
 
 from __future__ import annotations
 
@@ -19,13 +19,17 @@
 
 MEMORY_MB = 20.0
 
-UNTIL_STEPS = 200
-UNTIL_S = 3.0
-"""How long a condition is waited for at least: a thread or another process may lack a core."""
+MIN_WAIT_STEPS = 200
+MIN_WAIT_S = 3.0  # a thread or another process that a condition depends on may wait for a core
 
 
 class Peer:
-    """A socket of the test's, read without waiting."""
+    """A socket of the test, read without blocking.
+
+    Attributes:
+        received: The bytes that have arrived, without those that the test has removed.
+        ended: Whether the connection has ended.
+    """
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -34,7 +38,7 @@
         sock.setblocking(False)
 
     def read(self) -> bytes:
-        """Return all that has arrived and was not taken yet."""
+        """Read what has arrived; return all bytes that the test has not removed yet."""
         try:
             data = self.sock.recv(1 << 16)
             self.ended = self.ended or not data
@@ -47,12 +51,16 @@
 
 
 class Rig:
-    """One broker with its peers, all played by the test.
+    """One broker and its peers, which the test simulates.
 
     Attributes:
         now: The time of both clocks, in seconds.
-        memory_mb: What each broker reports to hold: this process holds what all tests before left.
+        listeners: The listening sockets of the discovery service ("board") and the engines, by name.
+        discovery_peer: The broker's connection to the discovery service.
+        memory_mb: The memory use that each broker reports. The real use of this process would
+            include what earlier tests have left allocated.
         rev: The revision of the endpoint list that was sent last.
+        seqid: The sequence number of the last call.
         brokers: The broker and its successors.
     """
 
@@ -92,18 +100,19 @@
             make_contracts=make_contracts,
             receipts=receipts,
         )
-        # No health check is answered unless a test does it: no request waits for one.
+        # The engines answer no health checks unless a test does it. With this fraction the decisions
+        # expect no answer in time, so no request waits for one.
         self.broker.balancer.health_checks.answered_fraction = 0.0
         self.make_contracts = make_contracts
         self.brokers = [self.broker]
         self.broker.start()
         self.discovery_peer = self.accept("board")
-        # As if the first poll had been answered.
+        # Counts the first poll as answered, so that the broker accepts clients at once.
         self.broker.discovery.has_answered = True
         self.seqid = 0
 
     def prefer_engine(self, engine: str) -> None:
-        """Let the decisions hold the others for a little fuller: equals go by lot."""
+        """Make the other engines appear a little more loaded: equal ones are chosen at random."""
         for other in self.broker.balancer.engines.values():
             other.threads_in_flight += 0.01 * (other.id != engine)
 
@@ -117,11 +126,17 @@
         return f"127.0.0.1:{self.listeners[name].getsockname()[1]}"
 
     def discovery_answer(self, *entries, reset=False) -> dict:
+        """Return the body of the next answer of the discovery service, with one watch event.
+
+        Args:
+            entries: For each engine its name, the name of its listener, and its lifecycle state.
+            reset: Whether the event replaces the whole list.
+        """
         self.rev += 1
-        made = [
+        instances = [
             {
                 "instanceId": name,
-                "hostPort": self.address(place),
+                "hostPort": self.address(listener_name),
                 "zone": "room-a",
                 "machineType": "std-8",
                 "cell": 1,
@@ -129,14 +144,15 @@
                 "weight": 1,
                 "startedAtMs": 0,
             }
-            for name, place, state in entries
+            for name, listener_name, state in entries
         ]
         return {
             "rev": self.rev,
-            "notices": [{"rev": self.rev, "pool": {"reset": reset, "instances": made}}],
+            "notices": [{"rev": self.rev, "pool": {"reset": reset, "instances": instances}}],
         }
 
     def publish_endpoints(self, *entries) -> None:
+        """Send a watch event to the broker, and wait until it is applied."""
         body = json.dumps(self.discovery_answer(*entries)).encode()
         self.discovery_peer.sock.send(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
@@ -144,13 +160,13 @@
         self.until(lambda: self.broker.endpoints.revision == self.rev)
 
     def step(self, ms: float) -> None:
-        """Run each broker's loop once; it waits for events no longer than that."""
+        """Run one iteration of each broker's event loop; together they wait at most ``ms``."""
         for broker in self.brokers:
             broker.loop.step(ms / len(self.brokers))
 
     def successor(self) -> Broker:
-        """Start a successor; its start waits for the greeting, so the old loop runs meanwhile."""
-        new = Broker(
+        """Start a successor in a thread, since its start blocks until the predecessor greets it."""
+        successor = Broker(
             self.broker.config,
             Loop(lambda: self.now),
             lambda: self.now,
@@ -158,46 +174,46 @@
             memory_mb=lambda: self.memory_mb,
             make_contracts=self.make_contracts,
         )
-        new.balancer.health_checks.answered_fraction = 0.0
-        begun = threading.Thread(target=new.start)
-        begun.start()
-        self.until(lambda: not begun.is_alive())
-        begun.join()
-        self.brokers.append(new)
-        return new
-
-    def until(self, condition: Callable[[], object], steps: int = UNTIL_STEPS) -> None:
-        """Step until the condition holds, for so many steps and ``UNTIL_S`` at least."""
-        limit = time.monotonic() + UNTIL_S
-        while steps > 0 or time.monotonic() < limit:
+        successor.balancer.health_checks.answered_fraction = 0.0
+        start_thread = threading.Thread(target=successor.start)
+        start_thread.start()
+        self.until(lambda: not start_thread.is_alive())
+        start_thread.join()
+        self.brokers.append(successor)
+        return successor
+
+    def until(self, condition: Callable[[], object], steps: int = MIN_WAIT_STEPS) -> None:
+        """Step until the condition holds; fail only after ``steps`` steps and ``MIN_WAIT_S``."""
+        deadline_s = time.monotonic() + MIN_WAIT_S
+        while steps > 0 or time.monotonic() < deadline_s:
             if condition():
                 return
             self.step(5)
             steps -= 1
-        raise AssertionError("it did not come to that")
+        raise AssertionError("the condition did not become true in time")
 
-    def advance_ms(self, ms: float, step: float = 20.0) -> None:
-        """Let time pass."""
-        for _ in range(int(ms // step)):
-            self.now += step / 1000
+    def advance_ms(self, ms: float, step_ms: float = 20.0) -> None:
+        """Advance both clocks in steps, with one iteration of the event loops after each."""
+        for _ in range(int(ms // step_ms)):
+            self.now += step_ms / 1000
             self.step(0)
 
     def accept(self, name: str) -> Peer:
         """Return the next connection to the engine or discovery service of that name."""
-        found = []
+        accepted = []
 
-        def come() -> bool:
+        def accept_connection() -> bool:
             try:
-                found.append(self.listeners[name].accept()[0])
+                accepted.append(self.listeners[name].accept()[0])
             except BlockingIOError:
                 return False
             return True
 
-        self.until(come)
-        return self.register_peer(Peer(found[0]))
+        self.until(accept_connection)
+        return self.register_peer(Peer(accepted[0]))
 
     def register_peer(self, peer: Peer) -> Peer:
-        """Close the peer after the test."""
+        """Register a peer, whose socket is closed after the test; return it."""
         self.peers.append(peer)
         return peer
 
@@ -205,11 +221,12 @@
         """Return a new connection of a client."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # small writes wait for nothing
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # small writes are sent at once
         sock.connect(self.broker.frontend.listener.sock.getsockname())
         return self.register_peer(Peer(sock))
 
     def send_request(self, client: Peer, method: str = "lookup", rid: str = "", **more) -> str:
+        """Send a request, and wait until the broker has admitted it; return its id."""
         self.seqid += 1
         rid = rid or f"{self.seqid:016x}"
         fields = {"method": method, "rid": rid, "budget": "2000"} | more
@@ -222,7 +239,7 @@
         self.until(lambda: text in peer.read())
 
     def start_request(self) -> tuple[Peer, str, Peer]:
-        """A client, the id of its request, and the engine that has it."""
+        """Return a client, the id of its request, and the engine that has received the request."""
         client = self.client()
         rid = self.send_request(client)
         engine = self.accept("s-0")
@@ -230,21 +247,21 @@
         return client, rid, engine
 
     def read_answer(self, client: Peer) -> bytes:
-        """The next frame."""
-        found = []
+        """Return the next frame that the client receives."""
+        frames = []
 
-        def come() -> bool:
+        def read_frame() -> bool:
             ring = RingBuffer(1 << 20)
             ring.write(client.read())
             frame = thrift.next_frame(ring)
             if frame is None:
                 return False
             client.received = ring.take(len(ring))
-            found.append(frame)
+            frames.append(frame)
             return True
 
-        self.until(come)
-        return found[0]
+        self.until(read_frame)
+        return frames[0]
 
     def close(self) -> None:
         """Close all sockets."""
@@ -254,5 +271,5 @@
             sock.close()
 
     def notice(self, *entries, reset: bool = False) -> discovery_protocol.WatchEvent:
-        """The next notice, as a value."""
+        """Return the next watch event, decoded."""
         return discovery_protocol.watch_events(self.discovery_answer(*entries, reset=reset), 0)[0]
--- a/tests/upstream/test_cancellation.py
+++ b/tests/upstream/test_cancellation.py
@@ -133,7 +133,7 @@
     # As when the decisions want to retry the request at another engine.
     rig.broker.action_handlers[CancelAttempt](CancelAttempt(rid, attempt.number))
     rig.expect(engine, b"STOP")
-    # Never two attempts in flight.
+    # The request never has two attempts in flight.
     assert not attempt_endings(events) and rig.broker.registry.requests[rid].attempt is attempt
     engine.sock.send(rid.encode() + b" HIT count=2 6\r\na\t1\t2\n\r\n")
     rig.expect(engine, b"FETCH " + rid.encode() + b" 1")
@@ -181,9 +181,9 @@
 
 @pytest.mark.parametrize("receipts", [False, True])
 def test_cancellation_sends_no_ping_when_settings_forbid_health_checks(rig, receipts):
-    """Engines may support cancellation and forbid health checks; each STOP was followed by a ping.
+    """Engines may support cancellation and forbid health checks, as those of the second site do.
 
-    Found in a review for the second site, whose engines do so.
+    Each STOP was nevertheless followed by a ping.
     """
     rig = rig(2, cancel=True, receipts=receipts, health_checks=False)
     rig.prefer_engine("s-0")
@@ -204,7 +204,7 @@
     assert rig.broker.registry.account.cancel_outcomes["UNKNOWN"] == 1
 
 
-# -- Events that cross
+# -- Events that arrive at the same time
 
 
 def test_attempt_is_not_sent_when_client_cancels_in_the_same_read(rig):
--- a/tests/upstream/test_deployment_terms.py
+++ b/tests/upstream/test_deployment_terms.py
@@ -47,7 +47,7 @@
     ],
 )
 def test_load_and_cost_reach_the_decisions_when_the_answer_has_pages(rig, fields, work):
-    """Found in a review: of a result of several pages only the fields of the last were read."""
+    """Of a result of several pages, only the fields of the last page were read once."""
     rig, rid, engine = rig_with_priorities(rig, True)
     events, post = [], rig.broker.registry.post
     rig.broker.registry.post = lambda event: (events.append(event), post(event))
@@ -75,9 +75,9 @@
 
 @pytest.mark.parametrize("token", ["053317d3066a7d60", "a;b:c/+<>"])
 def test_idempotency_key_is_passed_on(rig, token):
-    """Found with a class that needs keys: engines received the request without its key.
+    """Engines once received requests without the key that their class needs.
 
-    The whole day of that trial had to be discarded.
+    This invalidated the results of a whole trial day.
     """
     rig = rig()
     rid = rig.send_request(rig.client(), token=token)
--- a/tests/upstream/test_retry_budget.py
+++ b/tests/upstream/test_retry_budget.py
@@ -23,7 +23,7 @@
 
 
 class Play:
-    """Clients and engines; counts the requests that reach an engine.
+    """Simulates clients and engines, and counts the requests that reach an engine.
 
     Engines answer every request of a failing client with an error.
     """
@@ -43,6 +43,7 @@
         self.retry_times_ms: list[float] = []
         self.faults = 0  # so many of the next attempts for regular clients end with an error
         self.failing_calls = self.seqid = 0
+        # Retries and admitted requests of a window, whenever the retries exceed the budget.
         self.over: list[tuple[int, int]] = []
 
     @property
