--- a/tests/upstream/test_retry_budget.py
+++ b/tests/upstream/test_retry_budget.py
@@ -23,7 +23,7 @@
 
 
 class Play:
-    """Clients and engines; counts the requests that reach an engine.
+    """Simulates clients and engines, and counts the requests that reach an engine.
 
     Engines answer every request of a failing client with an error.
     """
@@ -43,6 +43,7 @@
         self.retry_times_ms: list[float] = []
         self.faults = 0  # so many of the next attempts for regular clients end with an error
         self.failing_calls = self.seqid = 0
+        # Retries and admitted requests of a window, whenever the retries exceed the budget.
         self.over: list[tuple[int, int]] = []
 
     @property
@@ -68,7 +69,9 @@
         before = len(self.engines)
         for name in self.names:
             try:
-                self.engines.append(self.rig.keep(Peer(self.rig.listeners[name].accept()[0])))
+                self.engines.append(
+                    self.rig.register_peer(Peer(self.rig.listeners[name].accept()[0]))
+                )
             except BlockingIOError:
                 pass
         return len(self.engines) - before
@@ -76,11 +79,11 @@
     def _serve_engine(self, engine: Peer) -> int:
         count = 0
         engine.read()
-        while (found := REQUEST_LINE.search(engine.got)) and len(engine.got) >= found.end() + int(
-            found[2]
-        ) + 2:
-            statement = engine.got[found.end() : found.end() + int(found[2])]
-            engine.got = engine.got[found.end() + int(found[2]) + 2 :]
+        while (found := REQUEST_LINE.search(engine.received)) and len(
+            engine.received
+        ) >= found.end() + int(found[2]) + 2:
+            statement = engine.received[found.end() : found.end() + int(found[2])]
+            engine.received = engine.received[found.end() + int(found[2]) + 2 :]
             count += 1
             self._answer(engine, found[1].decode(), b"bad" in statement)
         return count
