--- a/umberusher/decisions/actions.py
+++ b/umberusher/decisions/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the load balancer tells its broker to do."""
+"""Actions: the outputs of the load balancer, which its broker carries out."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send an attempt; with timeout_ms None it lasts until the client gives up."""
+    """Send an attempt; with timeout_ms None only the client's deadline limits it."""
 
     request: str
     engine: str
--- a/umberusher/decisions/concurrency_limit.py
+++ b/umberusher/decisions/concurrency_limit.py
@@ -11,7 +11,8 @@
 from umberusher.decisions.request import Request
 from umberusher.decisions.request_queue import RequestQueue
 
-# Initial limit, in threads per core. The throughput of an engine falls above 1 to 2.
+# Initial, least and largest limit, in threads per core. The throughput of an engine falls above 1
+# to 2 threads per core.
 INITIAL_LIMIT = 2.4
 MIN_LIMIT = 0.6
 MAX_LIMIT = 3.2
@@ -34,6 +35,7 @@
 PAST_OBJECTIVE_LIMIT = 0.9
 # This fraction of a broker's share of the limit may be used whatever the load reports say.
 RESERVED_FRACTION = 0.4
+# Prevents a division by zero.
 MIN_RESERVED_THREADS = 0.001
 
 
--- a/umberusher/decisions/eligibility.py
+++ b/umberusher/decisions/eligibility.py
@@ -80,7 +80,7 @@
         return self.team_retry_budget is None or self.team_retry_budget(request.id)
 
     def may_repeat(self, request: Request, engine: Engine, now_ms: float) -> bool:
-        """Return whether the engine would drop a repeat of a keyed request that may have run."""
+        """Return False if the engine might run a keyed request again that may have run already."""
         query_class = request.query_class
         if query_class.idempotency is not Idempotency.KEYED:
             return True
--- a/umberusher/decisions/endpoint_watch.py
+++ b/umberusher/decisions/endpoint_watch.py
@@ -10,7 +10,7 @@
 
 
 class EndpointWatch:
-    """Tells the broker to watch the endpoint list, if the settings enable it."""
+    """Requests the watch from the broker, if the settings enable it."""
 
     def __init__(self, enabled: bool, actions: list[Action]) -> None:
         self._enabled = enabled
--- a/umberusher/decisions/engine.py
+++ b/umberusher/decisions/engine.py
@@ -9,7 +9,7 @@
 
 
 class Engine:
-    """What one load balancer knows about one engine.
+    """State of one engine, as learned by one load balancer.
 
     Times are in milliseconds of the load balancer's clock, ``-inf`` before the first event.
 
@@ -29,7 +29,7 @@
         uncredited_sends: Sends since its last load report.
         consecutive_ejections: Ejections since its last successful answer.
         attributed_errors: Consecutive errors on requests that another engine then served.
-        slow_start_credit: Calls that it may be sent while it warms up.
+        slow_start_credit: Calls that this broker may still send to it while it warms up.
         loads_by_group: Attempts in flight that lock a group, by that group.
     """
 
--- a/umberusher/decisions/engine_choice.py
+++ b/umberusher/decisions/engine_choice.py
@@ -123,8 +123,8 @@
             request: The request.
             engine: The engine.
             now_ms: The time.
-            preferred_only: Also exclude the engine of the last attempt, and one that a load with
-                the request's group runs on.
+            preferred_only: Also exclude the engine of the last attempt, and engines that run a load
+                which locks the request's group, if the request waits for it or locks it too.
         """
         if engine.ejected_until > now_ms and not self._outliers.panic:
             return False
--- a/umberusher/decisions/health_checks.py
+++ b/umberusher/decisions/health_checks.py
@@ -14,7 +14,7 @@
 from umberusher.decisions.request_queue import RequestQueue
 from umberusher.decisions.settings import Limits
 
-# Least time between two checks of one engine in turn.
+# An engine whose turn it is isn't checked again within this time.
 MIN_INTERVAL_MS = 1_000.0
 # Health checks for each request, on average.
 CHECKS_PER_REQUEST = 0.2
@@ -77,7 +77,8 @@
     def check_for(self, request: Request, engine: Engine, now_ms: float) -> bool:
         """Check an engine for a costly request; return whether the request waits for the result.
 
-        Checks in turn are too rare to guide the choice for the few most costly requests.
+        The checks in turn are too rare to guide the choice of an engine for the most costly
+        requests, which are few.
         """
         if (
             not self._limits.health_checks
--- a/umberusher/decisions/load_estimates.py
+++ b/umberusher/decisions/load_estimates.py
@@ -47,7 +47,11 @@
         self._mean_of_others_warming = 0.0
 
     def load(self, engine: Engine, now_ms: float) -> float:
-        """Return the threads per core: those of other brokers by the reports, and this broker's."""
+        """Return the threads per core: those of other brokers by the reports, and this broker's.
+
+        A slow engine counts as more loaded; one without a report counts as loaded at least like the
+        mean, unless it is warming up.
+        """
         threads = self._threads_of_others(engine, now_ms) + engine.threads_in_flight / engine.cores
         load = threads / self.relative_speed(engine)
         if engine.has_reported or engine.warm_up_progress < 1:
--- a/umberusher/decisions/outlier_detection.py
+++ b/umberusher/decisions/outlier_detection.py
@@ -7,9 +7,10 @@
 from umberusher.decisions.events import AttemptOutcome
 from umberusher.decisions.request import Request
 
-# First and longest ejection; it doubles with each ejection since the last successful answer.
+# First and longest ejection time; it doubles with each ejection since the last successful answer.
 MIN_EJECTION_MS = 500.0
 MAX_EJECTION_MS = 8_000.0
+# Bounds the exponent of this doubling.
 MAX_COUNTED_EJECTIONS = 10
 # An engine that was overloaded or reset a connection is ejected for this long. If it is dead, the
 # next attempt to connect fails.
--- a/umberusher/decisions/request_queue.py
+++ b/umberusher/decisions/request_queue.py
@@ -7,6 +7,7 @@
 from umberusher.decisions.latency_estimates import LatencyEstimates
 from umberusher.decisions.request import Request
 
+# Lower bound of the work by which the weight of a request is divided.
 MIN_WORK_MS = 1.0
 
 
--- a/umberusher/decisions/request_review.py
+++ b/umberusher/decisions/request_review.py
@@ -18,7 +18,8 @@
 ANSWER_MARGIN_MS = 15.0
 # Longest time between two reviews of queued requests: a review may be this late.
 REVIEW_INTERVAL_MS = 20.0
-# A queued request is abandoned when this fraction of its expected latency no longer fits.
+# A queued request is due for review when this fraction of its expected latency no longer fits
+# before its objective, or before its deadline once it is past its objective.
 MIN_EXPECTED_FRACTION = 0.8
 # A queued request past its objective is kept if its late weight is at least this.
 MIN_LATE_WEIGHT = 0.15
@@ -119,7 +120,11 @@
             self._priorities.lower(request)
 
     def _give_up(self, request: Request) -> None:
-        """Cancel attempts that are far from done, to free their threads for timely requests."""
+        """Cancel attempts that are far from done and answer the request.
+
+        Timely requests need their threads. Nothing changes for a non-idempotent request, or if an
+        attempt is nearly done.
+        """
         if request.query_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return
         if any(attempt.progress > NEARLY_DONE_FRACTION for attempt in request.in_flight.values()):
--- a/umberusher/decisions/retry_budget.py
+++ b/umberusher/decisions/retry_budget.py
@@ -29,6 +29,7 @@
         """Count an eligible request that arrives."""
         if self._rules.retry_budget_window_ms is not None:
             self.requests.append(now_ms)
+            # Discards the entries that are older than the window.
             self.allows_retry(now_ms)
 
     def count_served(self, arrived_at: float) -> bool:
--- a/umberusher/decisions/settings.py
+++ b/umberusher/decisions/settings.py
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class Limits:
-    """What this broker is allowed to do."""
+    """The features that this broker may use, and their limits."""
 
     max_attempts: int = 1
     hedging: bool = False
--- a/umberusher/decisions/slow_start.py
+++ b/umberusher/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: limits what all brokers together send to an engine that is warming up."""
+"""Slow start: limits the load that all brokers send to an engine that is warming up."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         return min(self._warm_up_floor + (1 - self._warm_up_floor) * elapsed, 1.0)
 
     def is_budgeted(self, engine: Engine, now_ms: float) -> bool:
-        """Return whether the rules currently limit what all brokers may send to an engine."""
+        """Return whether the rules currently limit the load that all brokers send to an engine."""
         return (
             self._budgeted
             and engine.started_ms is not None
--- a/umberusher/decisions/stalled_attempts.py
+++ b/umberusher/decisions/stalled_attempts.py
@@ -6,15 +6,15 @@
 from umberusher.decisions.latency_estimates import LatencyEstimates
 from umberusher.decisions.request import Attempt, Request
 
-# An attempt is long after this multiple of its expected latency, which counts as at least the
-# minimum.
+# An attempt is long if it takes more than this multiple of its expected latency. Shorter expected
+# latencies count as the minimum.
 LONG_FACTOR = 10.0
 MIN_EXPECTED_MS = 30.0
 # Weight of the end of a long attempt in the stall probability; fraction by which each other answer
 # lowers it.
 LONG_WEIGHT = 0.15
 FADE_FRACTION = 0.002
-# From this probability on, a key no longer waits for an answer until the client gives up.
+# From this probability on, attempts of ordered requests have a timeout of their own.
 TIMEOUT_STALL_PROBABILITY = 0.3
 # Attempt timeout from then on: the larger of these multiples of the expected latency and of the
 # latency objective.
@@ -44,7 +44,7 @@
             self.stall_probability *= 1 - FADE_FRACTION
 
     def timeout_ms(self, request: Request, expected_ms: float) -> float | None:
-        """Return the timeout of an attempt; None: it lasts until the client gives up.
+        """Return the timeout of an attempt; None if only the client's deadline limits it.
 
         The timeout keeps a lost answer from blocking all later requests of its key. Other slow
         attempts have none: an attempt that is cut off may have run, so it can't be retried.
