--- a/umberusher/decisions/events.py
+++ b/umberusher/decisions/events.py
@@ -136,7 +136,13 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The end of an attempt; there is exactly one for each."""
+    """The end of an attempt; there is exactly one for each.
+
+    Attributes:
+        request_closed: Whether the broker has closed the request, which then needs no answer.
+        work_ms: Work of the query, if its engine reports it.
+        memory_mb: Memory that the query used, if its engine reports it.
+    """
 
     request: str
     attempt: int
--- a/umberusher/decisions/settings.py
+++ b/umberusher/decisions/settings.py
@@ -37,7 +37,18 @@
 
 @dataclass(slots=True)
 class QueryClass:
-    """One class of queries with its objectives and constraints."""
+    """One class of queries with its objectives and constraints.
+
+    Attributes:
+        objective_stretch: Fraction of the time that a request needs alone, added to its objective.
+        late_weight: Weight of an answer after the objective, as a fraction of the full weight.
+        threads: Threads that a request uses on its engine.
+        deduplication_window_ms: Time within which engines drop a repeat of a keyed request.
+        zones: Zones in which requests may run; None: any.
+        kinds: Kinds of engine on which requests may run; None: any.
+        locks_group: Whether a request locks its group of tables.
+        waits_for_load: Whether a request waits at its engine for loads that lock its group.
+    """
 
     name: str
     latency_objective_ms: float
@@ -127,7 +138,19 @@
 
 @dataclass(slots=True)
 class Rules:
-    """The rules of the platform; a rule that is None does not apply."""
+    """The rules of the platform; a rule that is None does not apply.
+
+    Attributes:
+        warm_up_floor: Fraction of its capacity that an engine has when it starts.
+        warm_up_ms: Time after its start in which an engine reaches its full capacity.
+        overload_multiple: Work within a window, as a multiple of an engine's capacity, that
+            overloads the engine.
+        overload_window_ms: Length of that window.
+        key_cool_down_ms: Time that a key cools down after an attempt that may still run.
+        retry_budget_floor: Retries allowed in each window without any request.
+        retry_budget_ratio: Further retries allowed for each eligible request of the window.
+        retry_budget_window_ms: Length of the retry budget's window.
+    """
 
     drain_grace_ms: float | None = None
     warm_up_floor: float | None = None
--- a/umberusher/endpoints/manual_drains.py
+++ b/umberusher/endpoints/manual_drains.py
@@ -52,7 +52,7 @@
     """Drains started by operators: by engine, the Unix time in ms at which each began.
 
     The times are Unix times because drains are handed over to another process, which has another
-    timeline. Lookups are those of a plain dictionary, since each entry of an endpoint list is
+    timeline. It is a dictionary so that lookups are cheap: each entry of an endpoint list is
     looked up here.
     """
 
--- a/umberusher/endpoints/registry.py
+++ b/umberusher/endpoints/registry.py
@@ -31,7 +31,7 @@
 
     Attributes:
         touched: Engines that the event names, in order.
-        closed: Engines that accept no new requests, as they were listed.
+        closed: Engines that accept no new requests now; a removed one as it was last listed.
         removed: Engines that were in the subset and are no longer listed.
     """
 
--- a/umberusher/endpoints/subset.py
+++ b/umberusher/endpoints/subset.py
@@ -99,7 +99,7 @@
         self._widths = [SLICES] * (1 + len(self._constraints))
         self._brokers_by_width = {SLICES: ring.brokers_per_engine(SLICES)}
         self._width_by_group: dict[ZoneAndKind, GroupWidth] = {}
-        self._distances = array("H")  # by slot
+        self._distances = array("H")  # from the first slice of the ring, by slot
         self._companions = CompanionIndex(directory)
 
     @property
--- a/umberusher/pipeline/admission.py
+++ b/umberusher/pipeline/admission.py
@@ -26,7 +26,7 @@
 
 
 class NotCoveredError(Exception):
-    """A contract can never admit the request; the text says why."""
+    """No contract can admit the request, now or later; the message gives the reason."""
 
 
 class ContractCheck(Protocol):
@@ -123,7 +123,7 @@
         return False
 
     def end_all(self, requests: Iterable[Request]) -> None:
-        """Give requests their final answer now: rejected where nothing was sent, else failed."""
+        """Give requests their final answer now: rejected if no attempt was started, else failed."""
         for request in requests:
             if request.attempt_count and self.registry.close(request, FinalOutcome.FAILED):
                 request.response_sink.send_failure("the broker ends it")
--- a/umberusher/pipeline/contracts.py
+++ b/umberusher/pipeline/contracts.py
@@ -26,10 +26,10 @@
 
 log = logging.getLogger(__name__)
 
-# Between two records of each team's usage in the structured log.
+# Time between two records of each team's usage in the structured log.
 STATEMENT_INTERVAL_MS = 10_000.0
 
-# Applies where the settings state none.
+# Retry budget of each team where the settings state none.
 DEFAULT_RETRY_BUDGET = RetryBudgetTerms(floor=5.0, ratio=0.1, window_ms=10_000.0)
 
 
--- a/umberusher/pipeline/request.py
+++ b/umberusher/pipeline/request.py
@@ -53,7 +53,7 @@
         """Send the complete result."""
 
     def send_rejection(self, retry_after_ms: float | None) -> None:
-        """Reject the request: nothing was done, and the client may retry after that time."""
+        """Reject the request: a retry does no harm, and the client may send it after that time."""
 
     def send_failure(self, reason: str) -> None:
         """Fail the request: it may have run."""
@@ -128,7 +128,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request to an engine.
+    """One attempt to run a request on an engine.
 
     Times are milliseconds on the broker's timeline, 0 until they are known.
 
@@ -145,7 +145,7 @@
         page_count: Pages of the result; 0 until the first page has arrived.
         received_bytes: Bytes of the pages received.
         encoded_ms: When it was encoded.
-        fully_sent_ms: When its last byte was with the kernel.
+        fully_sent_ms: When the kernel accepted its last byte.
         network_delay_ms: The delay allowance that was subtracted from the engine's time limit.
         receipt_ms: When its receipt arrived, if receipts are enabled.
         first_page_ms: When its first page arrived.
@@ -180,7 +180,7 @@
     cancel_pending: bool = False
 
     def timestamps(self) -> AttemptTimestamps:
-        """Return when it reached each step."""
+        """Return the times at which it reached each step."""
         return AttemptTimestamps(
             self.started_ms,
             self.carrier.opened_ms if self.carrier else 0.0,
--- a/umberusher/pipeline/request_registry.py
+++ b/umberusher/pipeline/request_registry.py
@@ -140,13 +140,13 @@
         self.final_answers[outcome][query_class] += 1
 
     def reject(self, action: RejectRequest) -> None:
-        """Reject a request for the decisions."""
+        """Carry out the decisions' rejection of a request."""
         request = self.requests.pop(action.request, None)
         if request is not None and self.close(request, FinalOutcome.REJECTED):
             request.response_sink.send_rejection(action.retry_after_ms)
 
     def fail(self, action: FailRequest) -> None:
-        """Fail a request for the decisions."""
+        """Carry out the decisions' failure of a request."""
         request = self.requests.pop(action.request, None)
         if request is not None and self.close(request, FinalOutcome.FAILED):
             request.response_sink.send_failure("failed")
--- a/umberusher/protocol/discovery.py
+++ b/umberusher/protocol/discovery.py
@@ -23,7 +23,7 @@
 DEFAULT_MEMORY_MB = 192.0  # the configuration's own default
 # Number of endpoints that are encoded as one piece of text of some 50 KB.
 ENDPOINTS_PER_PIECE = 256
-# Largest number that is accepted: a JSON integer may be longer than a float can hold.
+# Largest number that is accepted: a JSON integer may be too large for a float.
 MAX_NUMBER = 1e300
 
 STATE_BY_WIRE_NAME = {
@@ -38,7 +38,7 @@
 MALFORMED_ENTRY = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 Address = tuple[str, int] | None
-"""Host and port; None where the entry has no address and needs none."""
+"""Host and port; None if the entry has no valid address, which only an engine that is up needs."""
 
 Entry = tuple[EndpointUpdate, Address]
 """An entry of the list with the engine's address, which the decisions don't need."""
@@ -145,7 +145,7 @@
 
 
 def _check_last_complete_list(events: list[WatchEvent]) -> None:
-    """Reject a complete list without a readable entry: it would remove every engine."""
+    """Reject a complete list none of whose entries can be read: it would remove every engine."""
     for event in reversed(events):
         if event.complete:
             if event.skipped and not event.entries:
@@ -181,7 +181,10 @@
 
 
 def _read_object(item: dict[str, Any]) -> Entry | dict[str, Any]:
-    """Convert an entry as soon as it is parsed, so that a long list's dicts never add up."""
+    """Convert an entry as soon as it is parsed.
+
+    The dictionaries of a long list are then never in memory at the same time.
+    """
     if "instanceId" in item and "lifecycle" in item and "instances" not in item:
         try:
             return _read_entry(item)
@@ -235,7 +238,10 @@
 
 
 def encode_watch_event(revision: int, complete: bool, entries: Iterable[Entry]) -> Iterator[str]:
-    """Yield a watch event as JSON text in pieces, so that a long list's dicts never add up."""
+    """Yield a watch event as JSON text in pieces.
+
+    The dictionaries of a long list are then never in memory at the same time.
+    """
     yield f'{{"rev":{revision},"pool":{{"reset":{json.dumps(complete)},"instances":['
     piece: list[str] = []
     separator = ""
--- a/umberusher/protocol/ops.py
+++ b/umberusher/protocol/ops.py
@@ -82,7 +82,7 @@
                     return MalformedCall(413, "the body is too large")
             elif isinstance(event, h11.EndOfMessage):
                 return self._call()
-        if self._http.they_are_waiting_for_100_continue:  # The body is not needed.
+        if self._http.they_are_waiting_for_100_continue:  # no call needs its body
             return self._call()
         return None
 
@@ -93,7 +93,7 @@
         assert self._request is not None
         try:
             path = urlsplit(self._request.target.decode("ascii")).path
-            # Split before decoding: an id may hold a slash, which is written %2F.
+            # Split before decoding: an id may contain a slash, which is written %2F.
             segments = tuple(unquote(each, errors="strict") for each in path.split("/")[1:])
         except ValueError as error:
             return MalformedCall(400, f"the path can't be read: {type(error).__name__}")
--- a/umberusher/protocol/statement.py
+++ b/umberusher/protocol/statement.py
@@ -33,7 +33,7 @@
         "returning",
     ]
 )
-# A schema that is named like a group's, but belongs to none.
+# The schema of staging tables, which belongs to no group.
 STAGING_SCHEMA = "staging"
 
 
--- a/umberusher/upstream/attempts.py
+++ b/umberusher/upstream/attempts.py
@@ -94,7 +94,7 @@
         except EngineUnreachableError as error:
             self._fail_unconnected(attempt, error.reason)
         except ConnectionLimitError:
-            # The engine must not be ejected because this broker lacks file descriptors.
+            # This broker lacks file descriptors: a failed connection would eject the engine.
             self._context.registry.end_attempt(attempt, AttemptOutcome.OVERLOADED)
         return None
 
--- a/umberusher/upstream/cancellation.py
+++ b/umberusher/upstream/cancellation.py
@@ -28,7 +28,7 @@
     """Account for work that an engine does, or has done, for a client that disconnected.
 
     Args:
-        registry: Holds the account.
+        registry: Has the account in which the work is recorded.
         attempt: The attempt that was cancelled.
         stopped: Whether the engine has stopped the work.
     """
@@ -187,7 +187,7 @@
             reply.kind is ReplyKind.RESULT and reply.id in self._channel.abandoned_ids
         )
         if is_abandoned_result and codec.has_further_pages(reply):
-            # The engine would hold pages that nobody fetches.
+            # Otherwise the engine would keep pages that are never fetched.
             self._channel.write(codec.release_result(reply.id))
 
     def _time_out(self, request_id: str) -> None:
--- a/umberusher/upstream/channel.py
+++ b/umberusher/upstream/channel.py
@@ -1,4 +1,4 @@
-"""Interfaces between an engine connection and what it carries."""
+"""Interfaces between an engine connection and the attempts and health checks that it carries."""
 
 from __future__ import annotations
 
--- a/umberusher/upstream/connection_pool.py
+++ b/umberusher/upstream/connection_pool.py
@@ -16,7 +16,8 @@
 INBOUND_BUFFER_BYTES = codec.MAX_LINE_BYTES + codec.MAX_BODY_BYTES + 2
 # Holds the largest statement, with its line.
 OUTBOUND_BUFFER_BYTES = (1 << 20) + codec.MAX_LINE_BYTES
-# A process may open this many though other processes of its broker hold all that are allowed.
+# A process may open this many connections even if the other processes of its broker have reached
+# the limit.
 MIN_CONNECTIONS = 8
 
 
--- a/umberusher/upstream/context.py
+++ b/umberusher/upstream/context.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class UpstreamSettings:
-    """Limits of the connections to engines, and what the engines' settings allow.
+    """Limits of the connections to engines, and the commands that the settings allow.
 
     Attributes:
         max_attempts_per_connection: Attempts that one connection may carry at a time.
--- a/umberusher/upstream/engine_connection.py
+++ b/umberusher/upstream/engine_connection.py
@@ -37,7 +37,7 @@
         messages: Their requests; one can be withdrawn until its first byte is written.
         health_checks: Pending health checks, by tag.
         abandoned_ids: Requests that were given up here; late replies to them may still arrive.
-        last_used_ms: When something was last written or read.
+        last_used_ms: When a request or health check was last queued, or something was last read.
         last_received_ms: When something was last read.
         opened_ms: When it was established; 0 before.
         partial_reply_since_ms: When the first part of an incomplete reply arrived; None if none is
--- a/umberusher/upstream/receipts.py
+++ b/umberusher/upstream/receipts.py
@@ -8,11 +8,13 @@
 from umberusher.upstream.channel import EngineChannel
 from umberusher.upstream.context import UpstreamContext
 
-# Added to the network delay allowance, for timers and the engine's event loop.
+# A receipt is overdue this long after the network delay allowance: timers and the engine's event
+# loop take some time.
 RECEIPT_TOLERANCE_MS = 3.0
-# The timer must not fire in the millisecond in which the tolerance ends.
+# Added to the delay of the check, whose timer must not fire in the millisecond in which the
+# tolerance ends.
 RECEIPT_CHECK_MARGIN_MS = 1.0
-# Limits memory where an engine answers requests but no pings.
+# Limits memory where an engine answers requests but no pings; the oldest receipt is dropped.
 MAX_PENDING_RECEIPTS = 256
 
 
@@ -66,7 +68,7 @@
             transport.abort("cancelled request is unread")
 
     def is_overdue(self, attempt: Attempt) -> bool:
-        """Return whether a request was read too late and its connection can be closed.
+        """Return whether a request was or will be read too late, and its connection can be closed.
 
         An engine counts a request's time limit from when it reads the request. Where that was later
         than the network delay that was subtracted, the query may start after its deadline, and a
--- a/umberusher/upstream/result_collector.py
+++ b/umberusher/upstream/result_collector.py
@@ -100,7 +100,7 @@
         self._registry.fail_attempt(attempt, failure, codec.report(reply.fields))
 
     def _close_malformed(self, channel: EngineChannel, attempt: Attempt, reason: str) -> None:
-        """Close the connection of a malformed result: nothing after it can be trusted."""
+        """Close the connection of a malformed result: no bytes after it can be interpreted."""
         attempt.progress = max(attempt.progress, SendProgress.RESPONSE_STARTED)
         log.warning("malformed_result engine=%s reason=%r", attempt.engine, reason)
         channel.transport.close(f"malformed result: {reason}")
--- a/umberusher/upstream/stall_detection.py
+++ b/umberusher/upstream/stall_detection.py
@@ -10,11 +10,11 @@
 
 log = logging.getLogger(__name__)
 
-# Between two parts of a reply: the engine writes each reply in one call.
+# Longest time between two parts of a reply: the engine writes each reply in one call.
 MAX_REPLY_GAP_MS = 500.0
-# For a whole reply, from its first byte.
+# Longest time for a whole reply, from its first byte.
 MAX_REPLY_TIME_MS = 1_500.0
-# Between two pages of a result.
+# Longest time between two pages of a result.
 MAX_PAGE_GAP_MS = 1_500.0
 
 
