--- a/umberusher/broker/__init__.py
+++ b/umberusher/broker/__init__.py
@@ -1,1 +1,1 @@
-"""The broker process: wiring, readiness, shared limits, reload and shutdown."""
+"""The broker process: construction, readiness, shared limits, reload and shutdown."""
--- a/umberusher/broker/broker.py
+++ b/umberusher/broker/broker.py
@@ -90,7 +90,7 @@
             memory_mb: Returns the memory of this process. Tests replace it, since a test process
                 holds more memory than a broker.
             make_contracts: Creates the enforcer of the teams' contracts; None without contracts.
-            receipts: Whether engines are asked for a receipt of each request.
+            receipts: Whether each request to an engine requests a receipt.
         """
         self.config = config
         self.loop = loop or Loop()
--- a/umberusher/broker/restart_host.py
+++ b/umberusher/broker/restart_host.py
@@ -139,7 +139,8 @@
             self._endpoints.remember_removed(engine)
         for engine, since_unix_ms in greeting.manual_drains.items():
             self._endpoints.start_manual_drain(engine, since_unix_ms)
-        # Keeps recalled engines warming up: the discovery service may not know their start times.
+        # Lets engines whose manual drain has ended continue to warm up: the discovery service may
+        # not know their start times.
         for engine, unix_ms in greeting.manual_drain_ends.items():
             self._endpoints.restore_drain_end(engine, unix_ms)
         if greeting.teams:
--- a/umberusher/cli.py
+++ b/umberusher/cli.py
@@ -74,7 +74,7 @@
 
 
 def _add_commands(parsers: CommandParsers, commands: dict[str, Command], requested: str) -> None:
-    """Add the requested command, or all where it is none of these."""
+    """Add the requested command, or all commands if none has that name."""
     selected = {requested: commands[requested]} if requested in commands else commands
     for name, command in selected.items():
         help_text = command.help_text
--- a/umberusher/config.py
+++ b/umberusher/config.py
@@ -57,7 +57,7 @@
         connect_timeout_ms: Time limit for establishing an engine connection.
         keepalive_ms: Idle time after which engines close a connection.
         max_open_requests: Requests that may be open at a time.
-        admin: The address of the admin listener; None for none.
+        admin: The address of the admin listener; None without one.
     """
 
     name: str
@@ -146,7 +146,7 @@
     """Return the configuration that the environment names.
 
     Raises:
-        ConfigError: There is none, or it can't be used.
+        ConfigError: ``LB_CONFIG`` is not set, or the configuration can't be used.
     """
     path = environment.get("LB_CONFIG")
     if not path:
--- a/umberusher/deadlines/disposition.py
+++ b/umberusher/deadlines/disposition.py
@@ -46,7 +46,7 @@
 
 
 class ExecutionProof(Enum):
-    """What the load balancer may conclude about the attempt."""
+    """The conclusion that the load balancer may draw about the attempt's execution."""
 
     NEVER_RAN = auto()
     MAY_HAVE_RUN = auto()
--- a/umberusher/deadlines/timeline.py
+++ b/umberusher/deadlines/timeline.py
@@ -1,9 +1,9 @@
 """The broker's timeline: monotonic time with an offset to Unix time.
 
-The offset between both clocks is read once, at the start, so that a step of the Unix clock neither
-ends nor extends open requests. A Unix time that is received from outside (when an engine started,
-since when one is drained manually) is converted with the current offset, so that a step of the
-clock affects only such times.
+Its values read like Unix time. The offset between both clocks is read once, at the start, so that a
+step of the Unix clock neither ends nor extends open requests. A Unix time that is received from
+outside (when an engine started, since when one is drained manually) is converted with the current
+offset, so that a step of the clock affects only such times.
 """
 
 from __future__ import annotations
--- a/umberusher/frontend/call_decoder.py
+++ b/umberusher/frontend/call_decoder.py
@@ -24,7 +24,7 @@
 MAX_WORK_DEADLINE_MULTIPLE = 1_000.0
 # Largest accepted memory estimate, as a multiple of the largest engine's memory.
 MAX_MEMORY_MULTIPLE = 10.0
-# Assumed memory of engine kinds for which the settings give none.
+# Assumed memory of an engine where the settings give none.
 DEFAULT_ENGINE_MEMORY_MB = 1e6
 MAX_ORDER_KEY_CHARACTERS = 256
 
--- a/umberusher/frontend/client_connection.py
+++ b/umberusher/frontend/client_connection.py
@@ -30,7 +30,7 @@
 
 # Limit of open calls of one connection, which clients promise to keep.
 MAX_OPEN_CALLS = 32
-# What a served call adds to the retry credit: one for itself, and one for a call that fails.
+# Retry credit that a served call adds: one for itself, and one for a call that fails.
 RETRY_CREDIT_PER_RESULT = 2
 # A client with this many unread answers has its next calls deferred: twice the open calls' limit.
 MAX_UNWRITTEN_ANSWERS = 64
@@ -67,7 +67,7 @@
     Attributes:
         loop: The event loop.
         admission: Admits decoded requests.
-        schema: What calls may contain.
+        schema: The classes and value ranges that calls must keep to.
         now_ms: The broker's clock.
         arrived_ms: Returns the earliest time at which input that is read now may have arrived.
         accepts_clients: Returns whether clients should use this broker.
@@ -218,8 +218,8 @@
     def _end_open_calls(self) -> None:
         """End all open calls now, since a cancellation of them could no longer be read.
 
-        Prevents engines from working for a client that has disconnected. It doesn't happen to
-        clients that keep the limit of open calls.
+        Prevents engines from working for a client that has disconnected. Clients that keep to the
+        limit of open calls are not affected.
         """
         requests = [call for call in self.open_calls.values() if isinstance(call, Request)]
         if requests:
--- a/umberusher/frontend/thrift_frontend.py
+++ b/umberusher/frontend/thrift_frontend.py
@@ -27,7 +27,7 @@
 # Limit of all large incomplete calls together, as a fraction of the memory limit.
 LARGE_CALLS_MEMORY_FRACTION = 1 / 8
 FRAME_HEADER_BYTES = 4
-# An answer has at most 48,000 bytes of rows.
+# Limit of a client's outbound ring; an answer has at most 48,000 bytes of rows.
 OUTBOUND_BYTES = 1 << 20
 # Connections that may be closing beyond the clients' limit; descriptors are reserved for them.
 MAX_EXTRA_CLOSING = 16
@@ -200,7 +200,7 @@
         return client
 
     def remove_client(self, client: ClientConnection) -> None:
-        """Forget a client; keep its connection while that is closing, for it has a descriptor."""
+        """Remove a client; track its connection until it has closed and freed its descriptor."""
         self.clients.pop(client, None)
         self.large_calls.discard(client)
         transport = client.connection
@@ -214,9 +214,10 @@
     def _evict(self) -> bool:
         """Free a descriptor; return False if no client can be evicted.
 
-        A connection that is closing is closed first. Otherwise the client without open calls that
-        has been inactive for longest is evicted, one with an incomplete call before all others. A
-        client whose call is unread in the kernel is not inactive.
+        If too many connections are closing already, the oldest of them is closed at once. Otherwise
+        the client without open calls that has been inactive for longest is evicted, one with an
+        incomplete call before all others. A client whose call is unread in the kernel is not
+        inactive.
         """
         if len(self.closing) <= MAX_EXTRA_CLOSING:
             client = self._find_evictable()
--- a/umberusher/hot_restart/hot_restart.py
+++ b/umberusher/hot_restart/hot_restart.py
@@ -148,7 +148,7 @@
 
     @property
     def is_flushed(self) -> bool:
-        """Whether the kernel has all that was sent to peers."""
+        """Whether the kernel has accepted all messages that were sent to peers."""
         return all(peer.link.is_flushed and not peer.snapshot_is_due for peer in self.peers)
 
     def publish_manual_drain(self, engine: str, since_unix_ms: float | None) -> None:
@@ -163,8 +163,8 @@
     def publish_watch_event(self, event: WatchEvent, follows: int) -> None:
         """Send a watch event that was applied to the list of revision ``follows``.
 
-        Keeps drains effective: a discovery service that has moved or no longer responds to one
-        process may still notify another.
+        Prevents a process from missing drains: a discovery service that has moved or no longer
+        responds to one process may still notify another.
         """
         for peer in list(self.peers):
             if peer is not self.update_source:
@@ -175,7 +175,7 @@
         return sum((peer.usage for peer in self.peers), ResourceUsage())
 
     def publish_usage(self) -> None:
-        """Send each peer the usage of this process and its other peers, and a due list."""
+        """Send each peer the whole list if it is due, and the usage of all processes but itself."""
         own_usage = self._host.resource_usage()
         for peer in list(self.peers):
             peer.send_due_snapshot()
--- a/umberusher/hot_restart/interfaces.py
+++ b/umberusher/hot_restart/interfaces.py
@@ -28,7 +28,7 @@
 
 
 class TransferableClient(Protocol):
-    """A client's connection as hot restart sees it."""
+    """The part of a client's connection that hot restart uses."""
 
     @property
     def connection(self) -> Descriptor:
@@ -40,7 +40,7 @@
 
     @property
     def can_be_handed_over(self) -> bool:
-        """Whether no byte is in flight here, so that another process can read on."""
+        """Whether no byte is in flight here, so that another process can continue reading."""
 
     def hand_over(self, forward_answer: Callable[[int, bytes], None]) -> None:
         """Release the connection; pass answers of its open calls to ``forward_answer``."""
@@ -67,7 +67,7 @@
 
     @property
     def listening_socket(self) -> socket.socket | None:
-        """The socket that a successor is given; None if this process has none."""
+        """The clients' listening socket, which is sent to a successor; None if it is closed."""
 
     @property
     def endpoint_revision(self) -> int:
@@ -78,7 +78,7 @@
         """The clients' connections of this process."""
 
     def greeting(self) -> Greeting:
-        """Return what a successor is given besides the endpoint list."""
+        """Return the state for a successor besides the endpoint list."""
 
     def endpoint_list(self) -> Iterable[str]:
         """Return the whole endpoint list as pieces of JSON."""
@@ -93,7 +93,7 @@
         """Apply a watch event of the peer."""
 
     def apply_manual_drain(self, engine: str, since_unix_ms: float | None) -> None:
-        """Begin or end a manual drain, as the peer has."""
+        """Start or end a manual drain that the peer has started or ended."""
 
     def apply_team_budgets(self, state: JsonObject) -> None:
         """Apply the peer's state of the teams' budgets."""
@@ -101,13 +101,13 @@
     def adopt_client(
         self, sock: socket.socket, open_calls: list[int], on_disconnect: Callable[[int], None]
     ) -> TransferableClient:
-        """Take over a client's connection from the peer, which answers these calls."""
+        """Adopt a client's connection from the peer, which still answers the open calls."""
 
     def stop_accepting(self) -> None:
         """Stop accepting clients: the successor accepts them."""
 
     def resume_accepting(self) -> bool:
-        """Accept clients again, unless this process shuts down; return whether it does."""
+        """Accept clients again unless shutdown was requested; return whether they are accepted."""
 
 
 class PeerObserver(Protocol):
@@ -120,7 +120,7 @@
     update_source: Peer | None
 
     def on_successor_ready(self) -> None:
-        """Handle that a successor accepts clients from now on."""
+        """Called once a successor accepts clients."""
 
     def on_peer_closed(self, peer: Peer) -> None:
-        """Handle that a link has closed."""
+        """Called once a link has closed."""
--- a/umberusher/hot_restart/messages.py
+++ b/umberusher/hot_restart/messages.py
@@ -204,7 +204,7 @@
 
 
 class Greeting(NamedTuple):
-    """``hello``: what a successor is given besides the endpoint list."""
+    """``hello``: the predecessor's state besides the endpoint list."""
 
     delisted_engines: list[str]
     """Engines that are known and no longer listed."""
--- a/umberusher/hot_restart/peer.py
+++ b/umberusher/hot_restart/peer.py
@@ -1,4 +1,4 @@
-"""The link to another process of this broker: apply what arrives, send what changes here."""
+"""The link to another process of this broker: applies its messages and sends local changes."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
         self.link.send(messages.encode(message))
 
     def send_greeting(self, greeting: Greeting) -> None:
-        """Send a successor what it needs before it can serve."""
+        """Send a successor the state that it needs before it can accept clients."""
         self.link.send_in_pieces(messages.encode_greeting(greeting, self._host.endpoint_list()))
 
     def send_endpoint_change(self, event: WatchEvent, follows: int) -> None:
--- a/umberusher/hot_restart/predecessor.py
+++ b/umberusher/hot_restart/predecessor.py
@@ -21,7 +21,7 @@
 
 
 def socket_path(environment: Mapping[str, str], address: tuple[str, int]) -> str | None:
-    """Return where the processes of the broker at this address meet; None without ``TMPDIR``."""
+    """Return the socket path for the broker at this address; None without ``TMPDIR``."""
     directory = environment.get("TMPDIR")
     if not directory:
         return None
@@ -33,7 +33,7 @@
     """Accepts successors at the broker's path.
 
     Attributes:
-        path: Where successors look; None if hot restart is off.
+        path: The path to which successors connect; None if hot restart is off.
     """
 
     __slots__ = ("_listener", "_loop", "_on_successor", "path")
@@ -88,7 +88,7 @@
     """Return a socket that listens at ``path``, bound at ``own_path`` first.
 
     Raises:
-        OSError: It can't be made; nothing is left behind.
+        OSError: The socket can't be created; no file is left behind.
     """
     sock = None
     umask = os.umask(PRIVATE_UMASK)
--- a/umberusher/hot_restart/successor.py
+++ b/umberusher/hot_restart/successor.py
@@ -34,10 +34,10 @@
 
 
 class HandoverRefused(Exception):  # noqa: N818
-    """A predecessor is there, but its handover can't be used.
+    """A predecessor is running, but its handover can't be used.
 
     Attributes:
-        reason: What was wrong.
+        reason: Why the handover can't be used.
     """
 
     def __init__(self, reason: str) -> None:
@@ -46,7 +46,7 @@
 
 
 class HandoverState(NamedTuple):
-    """What a successor receives.
+    """The listener, the links and the state that a successor receives.
 
     Attributes:
         listener: The clients' listening socket.
@@ -70,13 +70,13 @@
     clock: Callable[[], float] = time.monotonic,
     max_list_bytes: int = DEFAULT_MAX_ANSWER_BYTES,
 ) -> HandoverState | None:
-    """Connect to the process that serves now, and return what it hands over.
+    """Connect to the process that serves now, and return its handover.
 
     It blocks for a bounded time: the loop does not run yet, and the start must not wait for a
     predecessor that hangs.
 
     Args:
-        path: Where the processes of this broker meet.
+        path: The path of the predecessor's socket.
         clock: Monotonic time in seconds.
         max_list_bytes: The longest endpoint list that memory allows.
 
@@ -84,7 +84,7 @@
         The handover, or None if no process serves.
 
     Raises:
-        HandoverRefused: A process is there, but its handover can't be used.
+        HandoverRefused: A process is running, but its handover can't be used.
     """
     try:
         link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -106,7 +106,7 @@
 def _receive_handover(
     link: socket.socket, path: str, clock: Callable[[], float], max_bytes: int
 ) -> HandoverState:
-    """Connect, and return what the predecessor hands over; no error leaves a descriptor open."""
+    """Connect, and return the handover; no error leaves a descriptor open."""
     started_at = clock()
     link.settimeout(GREETING_TIMEOUT_S)
     link.connect(path)
--- a/umberusher/net/connection.py
+++ b/umberusher/net/connection.py
@@ -5,8 +5,8 @@
 writing has not begun can still be withdrawn. Closing a socket with unread input resets the
 connection, and the peer loses data that it has not read yet. A connection without open work
 therefore passes through CLOSING: it writes the queued messages, shuts down the write side, and
-reads and drops further input for a bounded time. The only exception of a socket that leaves this
-module is ConnectError.
+reads and drops further input for a bounded time. Socket errors are handled in this module;
+only ConnectError is raised to callers.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
         """Return the bytes; empty to skip the message."""
 
     def written(self) -> None:
-        """Handle that the kernel has accepted the last byte."""
+        """Called once the kernel has accepted the last byte of the message."""
 
 
 class RawMessage:
@@ -365,8 +365,8 @@
     def _check_connected(self) -> None:
         """Check whether the connection is established, has failed, or is still pending.
 
-        It is pending where the event belongs to a descriptor that was closed and reused within the
-        same step of the loop.
+        It may still be pending because the reported event can belong to an earlier socket, whose
+        descriptor was closed and reused within the same step of the loop.
         """
         if self.state is not CONNECTING:
             return
@@ -390,7 +390,7 @@
         elif self.inbound.free_bytes > 0:
             events = READ
         else:
-            # Nothing can be read into a full ring, so the end of input is found by its event.
+            # A full ring can't be read into, so the end of input is detected by EPOLLRDHUP instead.
             events = READ_CLOSED
         if self.writing is None and not self.outbox:
             return events
--- a/umberusher/net/loop.py
+++ b/umberusher/net/loop.py
@@ -25,9 +25,9 @@
 MAX_TIMERS_PER_STEP = 64
 # A poll that takes longer than this has blocked: no event was ready when it began.
 MIN_BLOCKING_POLL_S = 0.001
-# A step that is late by more than this shows that the process was suspended or had no core.
+# A step that is late by more than this shows that the process was suspended or not scheduled.
 STALL_THRESHOLD_S = 0.05
-# Input that arrived during a stall is read within this time.
+# Upper bound of the time after a stall in which the input that arrived during it is read.
 MAX_CATCH_UP_S = 0.5
 # The heap is not compacted while it holds at most this many cancelled timers.
 COMPACTION_THRESHOLD_TIMERS = 64
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Wait:
-    """What a coroutine waits for: events of a descriptor."""
+    """The events of a descriptor that a coroutine waits for."""
 
     fd: int
     events: int
@@ -51,7 +51,7 @@
 
     Attributes:
         due_s: When it is due, on the loop's clock.
-        call: What to call; None once it ran or was cancelled.
+        call: The function to call; None once it ran or was cancelled.
     """
 
     __slots__ = ("_loop", "call", "due_s")
@@ -222,7 +222,7 @@
     def _update_oldest_input_time(self, began_s: float, timeout_s: float, any_ready: bool) -> None:
         """Update the earliest time at which input that is read in this step may have arrived.
 
-        While a process is suspended or has no core, input arrives in the kernel without a time.
+        While a process is suspended or not scheduled, input arrives in the kernel without a time.
         It arrived after the loop's last poll, and is assumed to have arrived right then, until no
         more input is pending.
         """
@@ -239,7 +239,10 @@
 
     @property
     def catching_up(self) -> bool:
-        """Whether input of a stall is still being read: a peer that seems silent may have sent."""
+        """Whether input that arrived during a stall may be unread.
+
+        A peer that seems silent may then have sent data.
+        """
         return self._catch_up_until_s > 0.0
 
     def _resume_ready(self, ready: list[tuple[int, int]]) -> None:
--- a/umberusher/net/ring.py
+++ b/umberusher/net/ring.py
@@ -74,7 +74,7 @@
         self._head = 0
 
     def _spans(self, start: int, size: int) -> list[tuple[int, int]]:
-        """Return where ``size`` bytes from ``start`` on lie: one span, or two if they wrap."""
+        """Return the spans of ``size`` bytes from ``start`` on: one, or two if the bytes wrap."""
         capacity = len(self._data)
         start %= capacity
         end = start + size
--- a/umberusher/teams/admission.py
+++ b/umberusher/teams/admission.py
@@ -45,7 +45,7 @@
 
 
 class _Funding(Enum):
-    """What pays for an admitted request."""
+    """The budget that an admitted request is charged to."""
 
     OWN = auto()
     """The team's own rate and work budgets."""
@@ -75,7 +75,7 @@
         contract: The contract, with the terms of the current day.
         at_ms: The latest time seen.
         states: The states of the teams that are not idle.
-        usage: What each team has used since the process started.
+        usage: The usage of each team since the process started.
         pool: The work that may be lent.
         costs: The corrections of clients' estimates.
         retry_budgets: The teams' shares of the retry budget.
@@ -243,7 +243,7 @@
     def _fund_overflow(
         self, now: float, team: Team, state: TeamState, demand: _Demand, reason: RejectionReason
     ) -> _Funding | None:
-        """Return what pays for a request beyond its team's limits; None where nothing does.
+        """Return the budget for a request beyond its team's limits; None if it is rejected.
 
         A request above the promised rate of its class may run on the team's own work, since that
         takes nothing from other teams. When routing by key sends all requests of a class to one
--- a/umberusher/teams/handover.py
+++ b/umberusher/teams/handover.py
@@ -138,5 +138,5 @@
 
 
 def _extend(budget: RateBudget, full_ms: float) -> None:
-    """Charge a budget as far as the predecessor's was; never refund."""
+    """Charge a budget until it is full no earlier than the predecessor's; never refund."""
     budget.full_ms = max(budget.full_ms, full_ms)
--- a/umberusher/teams/retry_budget.py
+++ b/umberusher/teams/retry_budget.py
@@ -3,8 +3,8 @@
 The platform's rule applies to each broker: in any window it may make a fixed number of retries,
 plus a fraction of the requests admitted. Each team has a share of this budget. A share is exclusive
 to its owner while the owner has been active in the window; half of the shares of idle teams is
-lent. A lent retry counts for a whole window and cannot be reclaimed sooner, so the other half is
-there for an owner that becomes active again.
+lent. A lent retry counts for a whole window and cannot be reclaimed sooner, so the other half
+remains available to owners that become active again.
 
 Counts are kept in slices of the window, not per request, so that memory does not grow with the
 rate. The retries of a slice that is partly too old still count against the budget, and its requests
--- a/umberusher/teams/statement.py
+++ b/umberusher/teams/statement.py
@@ -1,4 +1,4 @@
-"""A statement over a period: what each team was promised, used and was refused. No I/O.
+"""A statement of each team's promised work, usage and rejections over a period. No I/O.
 
 It is computed from the counts that brokers log at intervals, which are totals since a broker's
 start. The counts of a broker over the period are the sum of the differences between successive
--- a/umberusher/teams/team_state.py
+++ b/umberusher/teams/team_state.py
@@ -27,8 +27,8 @@
         threads: Threads that the open requests hold.
         memory_mb: Memory that the open requests hold.
         lent_ms: Work of open requests that run on borrowed work.
-        retry_after_until_ms: By class, the latest time at which a rejected request was asked to
-            retry.
+        retry_after_until_ms: By class, the latest retry time that was given to a rejected
+            request.
         release_rate: Threads per millisecond that ending requests release.
     """
 
