--- a/umberusher/frontend/call_decoder.py
+++ b/umberusher/frontend/call_decoder.py
@@ -89,7 +89,7 @@
         call: The call.
         sink: Receives the final answer.
         arrived_ms: When the call arrived: its time budget counts from then.
-        schema: What the settings allow.
+        schema: The classes and value ranges that the settings allow.
 
     Raises:
         InvalidCallError: A field is missing, malformed or out of range.
--- a/umberusher/frontend/thrift_frontend.py
+++ b/umberusher/frontend/thrift_frontend.py
@@ -74,7 +74,7 @@
                 arrived: a request's time budget starts then.
             accepts_clients: Returns whether clients should use this broker.
             max_clients: Limit of connections.
-            schema: What calls may contain.
+            schema: The classes and value ranges that calls must keep to.
             memory_mb: The memory limit, by which frames are bounded.
             origin_of_port: Returns the origin of connections to a port; None if origins are not
                 used.
