--- a/umberusher/frontend/call_decoder.py
+++ b/umberusher/frontend/call_decoder.py
@@ -24,7 +24,7 @@
 MAX_WORK_DEADLINE_MULTIPLE = 1_000.0
 # Largest accepted memory estimate, as a multiple of the largest engine's memory.
 MAX_MEMORY_MULTIPLE = 10.0
-# Assumed memory of engine kinds for which the settings give none.
+# Assumed memory of an engine where the settings give none.
 DEFAULT_ENGINE_MEMORY_MB = 1e6
 MAX_ORDER_KEY_CHARACTERS = 256
 
@@ -89,7 +89,7 @@
         call: The call.
         sink: Receives the final answer.
         arrived_ms: When the call arrived: its time budget counts from then.
-        schema: What the settings allow.
+        schema: The classes and value ranges that the settings allow.
 
     Raises:
         InvalidCallError: A field is missing, malformed or out of range.
