--- a/umberusher/scale/run.py
+++ b/umberusher/scale/run.py
@@ -75,7 +75,7 @@
     try:
         pool.run()
     except KeyboardInterrupt:
-        pool.stop_reason = "interrupted by a signal"
+        pool.stop_reason = "told to end"
     finally:
         pool.stop()
     played = [scene.name for scene in plan.scenes if scene.name in pool.counts]
@@ -141,9 +141,7 @@
         try:
             message = pipe.recv()
         except EOFError:
-            message = WorkerFinished(
-                f"worker {self._pipes[pipe]} exited before it finished its scenes"
-            )
+            message = WorkerFinished(f"worker {self._pipes[pipe]} ended by itself")
         if isinstance(message, SceneFinished):
             self._add_worker_counts(message)
             return
