--- a/umberusher/checker/checker.py
+++ b/umberusher/checker/checker.py
@@ -1,8 +1,8 @@
 """An independent checker of the platform's rules, which uses no code or state of the broker.
 
 It receives the traffic on the sockets as events, in order (:mod:`events`). Times are ms since the
-replay's start. What looks like a breach for less than ``SLACK_MS`` is held as a suspicion and
-dropped if it clears up, since two sockets are read one after the other.
+replay's start. Some breaches are first held as suspicions and dropped if they clear up within
+``SLACK_MS``, since two sockets are read one after the other.
 """
 
 from __future__ import annotations
--- a/umberusher/checker/engine_rules.py
+++ b/umberusher/checker/engine_rules.py
@@ -1,4 +1,4 @@
-"""Rules that are observed at the engines: what may be sent to them when, and how often it runs."""
+"""Rules that are observed at the engines: which attempts may be sent, and how often work runs."""
 
 from __future__ import annotations
 
@@ -194,8 +194,8 @@
         request.work_start_count += 1
         self._counts[Count.WORK_STARTED] += 1
         if now_ms > request.deadline_ms + LATE_START_MS:
-            # This is no breach of the platform's rules, which leave it to the engine; the page on
-            # deadlines promises that it doesn't happen, so it is counted.
+            # The platform's rules leave this to the engine, so it is not a breach. It is counted
+            # because the page on deadlines promises that it doesn't happen.
             self._counts[Count.WORK_STARTED_LATE] += 1
             self.max_late_start_ms = max(self.max_late_start_ms, now_ms - request.deadline_ms)
         is_non_idempotent = request.query_class in self._settings.non_idempotent
--- a/umberusher/checker/key_order.py
+++ b/umberusher/checker/key_order.py
@@ -11,7 +11,7 @@
 from umberusher.checker.requests import ObservedRequest, RequestTable
 from umberusher.checker.settings import SLACK_MS, RuleSettings
 
-MAX_COOL_DOWNS = 4_096  # above which those that have ended are removed
+MAX_COOL_DOWNS = 4_096  # above this number, cool-downs that have ended are removed
 
 OrderKey = tuple[str, str]
 """A broker and a key: each broker keeps the order of its own requests."""
--- a/umberusher/replay/brokers.py
+++ b/umberusher/replay/brokers.py
@@ -35,11 +35,11 @@
 
 @dataclass(slots=True)
 class BrokerReport:
-    """What the brokers reported by the end of a replay.
+    """The reports of the brokers at the end of a replay.
 
     Attributes:
         account: Their own counts of deadlines, cancels and waste, summed; step clock only.
-        request_events: What they reported of requests that ended late, expired or disconnected.
+        request_events: Their events for requests that ended late, expired or disconnected.
         log_lines: Their warnings, counted by kind of log line; wall clock only.
         crash_count: Processes that ended otherwise than by exit status 0 or SIGTERM.
     """
@@ -59,10 +59,10 @@
         """Start a broker; return the address for its clients."""
 
     def any_ended(self) -> bool:
-        """Return whether a broker has ended by itself."""
+        """Return whether a broker has exited before it was stopped."""
 
     def stall(self, duration_ms: float) -> None:
-        """Let time pass in which no broker runs."""
+        """Keep all brokers from running for a time."""
 
     def close(self) -> None:
         """End all brokers."""
@@ -83,7 +83,7 @@
         Args:
             options: The replay's options.
             loop: Runs the brokers.
-            clock: Gives the times of request events.
+            clock: Supplies the times of request events.
             on_closing: Called with each broker before it closes.
         """
         self.report = BrokerReport()
@@ -127,7 +127,7 @@
         return False
 
     def stall(self, duration_ms: float) -> None:
-        """Let time pass in which nothing runs."""
+        """Advance the simulated clock without running anything."""
         self._loop.now += duration_ms / 1000.0
 
     def close(self) -> None:
@@ -195,7 +195,7 @@
         return address
 
     def any_ended(self) -> bool:
-        """Return whether a broker has ended by itself."""
+        """Return whether a broker has exited before it was stopped."""
         return any(process.poll() is not None for process in self._processes)
 
     def stall(self, duration_ms: float) -> None:
--- a/umberusher/replay/key_spacing.py
+++ b/umberusher/replay/key_spacing.py
@@ -5,7 +5,7 @@
 from umberusher.standin.machine import TIME_TOLERANCE_MS
 
 KEY_INTERVAL_MS = 60.0
-MAX_KEYS = 8_192  # above which keys whose interval has passed are removed
+MAX_KEYS = 8_192  # above this number, keys whose interval has passed are removed
 
 
 class KeySpacing:
@@ -20,7 +20,7 @@
         self.delay_count = 0
 
     def reserve(self, key: str, earliest_ms: float, now_ms: float) -> float:
-        """Reserve a key's next free time at or after the wanted one; return it."""
+        """Reserve a key's next free time at or after ``earliest_ms``; return it."""
         free_at_ms = self._free_at_ms.get(key, 0.0)
         start_ms = max(free_at_ms, earliest_ms)
         self._free_at_ms[key] = start_ms + KEY_INTERVAL_MS
--- a/umberusher/replay/options.py
+++ b/umberusher/replay/options.py
@@ -32,7 +32,7 @@
         request_teams: The team of each request of the plan.
         uneven_fraction: Fraction of the requests without a key that all go to the first broker.
         keep_event_log: Whether to keep the lines of the event log.
-        keep_request_events: Whether to keep what brokers report of requests that end late,
+        keep_request_events: Whether to keep the brokers' events for requests that end late,
             expired or disconnected.
     """
 
--- a/umberusher/replay/plans.py
+++ b/umberusher/replay/plans.py
@@ -12,7 +12,7 @@
 from umberusher.traces.plan import COLUMNS, Plan
 
 MICROSECONDS = 1e6
-SURGE_SPREAD_US = 997  # between the copies of one request
+SURGE_SPREAD_US = 997  # interval between the copies of one request
 
 Row = tuple[Any, ...]
 """Time, the team's position and the request's number, which sort; then class, request and team."""
--- a/umberusher/replay/replay.py
+++ b/umberusher/replay/replay.py
@@ -42,11 +42,11 @@
 """Time after the clients have connected, before the replay starts."""
 START_DELAY_S = 0.05
 MAX_LAST_ANSWER_WAIT_S = 30.0
-"""Time after the last request, longer than the longest deadline."""
+"""Maximum wait for answers after the last request; longer than the longest deadline."""
 FINAL_EVENTS_WAIT_S = 0.2
 """Time after the last answer, so that the rules cover the lines that are in transit."""
 CONNECTIONS_AT_START = 4
-"""Connections of clients to each broker."""
+"""Client connections to each broker when the replay starts."""
 MAX_WALL_STEP_MS = 50.0
 MAX_STEP_MS = 1000.0
 MAX_WAIT_STEP_MS = 100.0
@@ -54,9 +54,9 @@
 PROGRESS_INTERVAL_REQUESTS = 256
 BROKER_MEMORY_MB = 192
 UNLIMITED_MEMORY_MB = 1e6
-"""For brokers in this process, whose memory contains more than theirs."""
+"""Memory limit of brokers in this process, whose memory is shared with all other parties."""
 SEED_STRIDE = 7919
-"""Between the seeds of replays, so that their brokers' seeds differ."""
+"""Distance between the broker seeds of consecutive replay seeds, so that no two are equal."""
 
 Progress = Callable[[int], None]
 """Called with the number of requests that have been started."""
@@ -80,8 +80,8 @@
         """Create the parties; nothing is started yet.
 
         Args:
-            plan: What to play.
-            options: How to play it.
+            plan: The requests and machine events to play.
+            options: The options of the replay.
             progress: Called with the number of requests that have been started.
             on_parties_started: Called before the brokers are ready; tests inject defects there.
             on_broker_closing: Called with each broker of this process before it closes.
--- a/umberusher/replay/report.py
+++ b/umberusher/replay/report.py
@@ -29,9 +29,9 @@
 
     Args:
         name: Title of the page.
-        plan: What was played.
+        plan: The plan that was played.
         result: The result as JSON.
-        options: How it was played.
+        options: The options of the replay.
     """
     parts = [
         _heading(name, result),
--- a/umberusher/replay/requests.py
+++ b/umberusher/replay/requests.py
@@ -31,7 +31,7 @@
     """One request of the plan, with its client's retries.
 
     Attributes:
-        deadline_ms: When the client gives up.
+        deadline_ms: Time of the replay at which its client withdraws it.
         broker: The number of the broker that it is sent to.
         disconnect_after_ms: Time from its arrival to its client's disconnect; None without one.
         obeys_retry_after: Its retry waits for the Retry-After of a rejection.
--- a/umberusher/replay/result.py
+++ b/umberusher/replay/result.py
@@ -16,7 +16,7 @@
 from umberusher.traces.stats import quantiles
 
 MAX_LAG_P99_MS = 50.0
-"""Clients that start requests later than this can't keep pace, and nothing is scored."""
+"""99th percentile of the delays in starting requests above which nothing is scored."""
 MAX_LAG_MS = 500.0
 MAX_LOG_LINES = 20  # kinds of the brokers' log lines that are kept
 CRASHED = "brokers that crashed"
@@ -37,7 +37,7 @@
 
 
 def result_document(record: ReplayRecord) -> dict[str, Any]:
-    """Return the result as JSON; the service is None where it was not played as planned."""
+    """Return the result as JSON; its service is None unless all was played, and on time."""
     driver = record.driver
     lag_ms = quantiles(driver.lags_ms)
     kept_pace = not driver.lags_ms or _keeps_pace(lag_ms)
--- a/umberusher/standin/client_connection.py
+++ b/umberusher/standin/client_connection.py
@@ -107,7 +107,7 @@
         self.transport.send(_CallMessage(self._owner, call))
 
     def send_check(self) -> None:
-        """Send a check whether the broker is ready."""
+        """Send a readiness check."""
         self.transport.send(RawMessage(thrift_client.encode_check(self._next_sequence_id())))
 
     def send_interrupt(self, call: Call) -> None:
--- a/umberusher/standin/client_pool.py
+++ b/umberusher/standin/client_pool.py
@@ -19,11 +19,11 @@
 MAX_OPEN_CALLS = 32
 """Open calls that the protocol allows on one connection."""
 TARGET_OPEN_CALLS = 20
-"""Open calls on each connection from which another connection is opened."""
+"""Another connection is opened once every connection has this many open calls."""
 CROSSED_CLOSE_MS = 50.0
 """A call that is sent within this time before a close is sent again, once."""
 MAX_REMEMBERED_INTERRUPTS = 4_096
-"""Bounds the interrupted calls that are remembered: most are never answered."""
+"""Interrupted calls that are remembered; the oldest are dropped, as most are never answered."""
 
 _OUTCOMES = {
     AnswerKind.SERVED: Outcome.SERVED,
@@ -63,7 +63,7 @@
         return connection
 
     def send_check(self) -> None:
-        """Send a check whether the broker is ready; its answer sets ``ready``."""
+        """Send a readiness check; its answer sets ``ready``."""
         connection = next(iter(self.connections), None) or self.connect()
         if connection:
             connection.send_check()
--- a/umberusher/standin/clock.py
+++ b/umberusher/standin/clock.py
@@ -15,7 +15,7 @@
 """Start of the clock; small enough that a float resolves a tenth of a nanosecond."""
 
 MAX_POLLED_EVENTS = 1 << 14
-"""Events of one poll, enough for all ready descriptors: the kernel would choose a part of them."""
+"""Limit of one poll; it covers all ready descriptors, so that the kernel doesn't select some."""
 
 
 class StepLoop(Loop):
@@ -45,7 +45,7 @@
         super().unregister(fd)
 
     def step(self, longest_ms: float = 1000.0) -> None:
-        """Resume what is ready in a fixed order, or advance the clock to the next timer."""
+        """Process ready descriptors in a fixed order, or advance the clock to the next timer."""
         ready = self._poll() or self._poll()
         self.oldest_input_at_s = self.now  # no input arrives while the clock stands still
         if ready:
--- a/umberusher/standin/deployment.py
+++ b/umberusher/standin/deployment.py
@@ -14,7 +14,7 @@
         priorities: Whether priorities have an effect.
         cost_in_answers: Whether answers report work and memory.
         retry_budget_ratio: Retries per request of the window.
-        overload_multiple: Load beyond which an engine may collapse.
+        overload_multiple: Load beyond which an engine may collapse, as a multiple of its capacity.
         overload_window_ms: Time over which that load counts.
         progress_interval_ms: How often an engine reports the progress of an attempt in flight.
         runaway_fraction: Fraction of the attempts of class ``report`` that get a bad query plan.
--- a/umberusher/standin/engine.py
+++ b/umberusher/standin/engine.py
@@ -64,7 +64,7 @@
             cancellation: Whether a cancel frees an attempt's resources; else it keeps running.
             warming_up: Whether it starts without its full capacity.
             clock_skew_ms: How far its clock is ahead of the loop's.
-            terms: What the deployment allows and reports.
+            terms: The terms of the deployment.
         """
         self.loop = loop
         self.name = name
--- a/umberusher/standin/machine.py
+++ b/umberusher/standin/machine.py
@@ -3,9 +3,9 @@
 All threads run at the same rate (processor sharing, Kleinrock 1967), so that one virtual clock
 serves all: a query with w ms of work on n threads ends when that clock has advanced by w/n, and no
 query has to be updated when the rate changes. Up to ``knee`` threads per core each thread runs at
-full speed, since a part of its work is reading and writing; beyond it the total throughput falls by
-``thrash``. An engine that has started is warming up: its capacity grows from ``warm_up_floor`` to 1
-within ``warm_up_ms``.
+full speed, since a part of its work is I/O; beyond it the total throughput falls by ``thrash``. An
+engine that has started is warming up: its capacity grows from ``warm_up_floor`` to 1 within
+``warm_up_ms``.
 """
 
 from __future__ import annotations
--- a/umberusher/standin/query_plans.py
+++ b/umberusher/standin/query_plans.py
@@ -11,7 +11,7 @@
 
 
 class QueryPlans:
-    """Draws the plans of one engine, by its name and the number of the attempt."""
+    """Draws the plans of one engine, by a hash of its name, the request and the attempt number."""
 
     __slots__ = ("_attempt_count", "_engine", "_runaway_fraction", "runaway_count")
 
