--- a/umberusher/scale/figures.py
+++ b/umberusher/scale/figures.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, TypedDict
 
-DECIMALS = 4  # of a metric
+DECIMALS = 4  # decimals to which a metric is rounded
 DIGEST_CHARACTERS = 16
 # Above this mean the sum of Poisson probabilities would underflow; there the normal approximation
 # is accurate to well below a thousandth.
--- a/umberusher/scale/plan.py
+++ b/umberusher/scale/plan.py
@@ -46,7 +46,7 @@
 )
 SCRIPT_VALUES = ("run", "statements", "scenes", "real")
 SCENES_MAX = 40
-ALL_SCENES_MAX_S = 7_200.0  # of all scenes together, on the step clock
+ALL_SCENES_MAX_S = 7_200.0  # limit of all scenes' durations together, on the step clock
 # Fields of scenes that hold an index, and the field of the size that bounds each.
 NUMBERED_FIELDS = {"zone": "zones", "region": "regions"}
 
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True)
 class RealBrokersPlan:
-    """What is played with real ``serve`` processes on the wall clock."""
+    """The load that real ``serve`` processes get on the wall clock."""
 
     brokers: int
     engines: int
@@ -109,7 +109,7 @@
 
 @dataclass(slots=True)
 class ScenePlan:
-    """One scene: its kind, its name in results, and its fields (seconds, a second, counts)."""
+    """One scene: its kind, its name in results, and its fields (in s, per s, or counts)."""
 
     kind: str
     name: str
--- a/umberusher/scale/plan_fields.py
+++ b/umberusher/scale/plan_fields.py
@@ -21,7 +21,7 @@
 
 
 class Quantity(StrEnum):
-    """What a field measures."""
+    """The physical quantity of a field."""
 
     TIME = "time"
     RATE = "rate"
--- a/umberusher/scale/real_brokers.py
+++ b/umberusher/scale/real_brokers.py
@@ -1,4 +1,4 @@
-"""The wall-clock part of a scale run: what discovery costs real brokers, and what clients see.
+"""The wall-clock part of a scale run: real brokers' cost of discovery, and clients' latencies.
 
 This module plays the phases; ``real_fleet`` runs the broker processes, ``real_discovery`` the
 process of the control machines.
@@ -25,8 +25,8 @@
 SETTLE_TIMEOUT_S = 5.0
 # Lets the brokers finish their start before the first phase is measured.
 START_SETTLE_S = 2.0
-STATEMENT_STEP_MS = 2.0  # of the loop, where statements are submitted
-CLIENT_DESCRIPTORS = 512  # of one broker's stand-ins
+STATEMENT_STEP_MS = 2.0  # longest step of the loop while statements are submitted
+CLIENT_DESCRIPTORS = 512  # descriptors of one broker's stand-ins
 NEVER_S = float("inf")
 BYTES_PER_KB = 1e3
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PhaseUsage:
-    """What the brokers used in a phase.
+    """The processor time of the brokers in a phase, and their load.
 
     Attributes:
         duration_s: How long the phase lasted.
@@ -125,7 +125,7 @@
         discovery: The control machines.
         real: The plan of the run.
         random_source: Draws the engines that change.
-        phase: What to play.
+        phase: The phase.
     """
 
     __slots__ = ("_discovery", "_fleet", "_phase", "_random", "_real")
--- a/umberusher/scale/real_discovery.py
+++ b/umberusher/scale/real_discovery.py
@@ -17,7 +17,7 @@
 from umberusher.simulated_fleet.discovery_service import SimulatedDiscoveryService
 from umberusher.simulated_fleet.update_history import EndpointEntry, UpdateHistory
 
-STEP_MS = 5.0  # of the process's loop, between two checks of the pipe
+STEP_MS = 5.0  # longest step of the process's loop between two checks of the pipe
 STOP_TIMEOUT_S = 15.0
 
 
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryReport:
-    """What the control machines have recorded.
+    """The records of the control machines.
 
     Attributes:
-        known_at_s: By broker and revision: when the broker acknowledged it.
+        acknowledged_at_s: By broker and revision: when the broker acknowledged it.
         broker_bytes: Bytes to and from each broker.
         changed_at_s: When the change of each revision was made, from revision 1 on.
     """
@@ -152,7 +152,7 @@
         self.revision += 1
 
     def report(self) -> DiscoveryReport:
-        """Return what the control machines have recorded so far."""
+        """Return the records of the control machines up to now."""
         self._pipe.send(ReportRequest())
         report = self._pipe.recv()
         assert isinstance(report, DiscoveryReport)
--- a/umberusher/scale/real_fleet.py
+++ b/umberusher/scale/real_fleet.py
@@ -36,7 +36,7 @@
 ENGINE_SHAPE = MachineShape(8, 16_384.0)
 READY_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 15.0
-STEP_MS = 20.0  # of this process's loop
+STEP_MS = 20.0  # longest step of this process's loop
 # The brokers' limits.
 CORES = 1.0
 MEMORY_MB = 256
@@ -46,11 +46,11 @@
 STATEMENT_WORK_MS = 2.0
 STATEMENT_MEMORY_MB = 8.0
 STATEMENT_KINDS = 5
-ENGINE_STARTED_MS = 1  # long enough ago that no engine is warming up
+ENGINE_STARTED_MS = 1  # Unix time; long enough ago that no engine is warming up
 
 
 def ignore_message(*_: object) -> None:
-    """Ignore a message: ``trace replay`` checks the broker's wire protocol."""
+    """Ignore an event of a stand-in: ``trace replay`` checks the broker's wire protocol."""
 
 
 class RealFleet:
--- a/umberusher/scale/record.py
+++ b/umberusher/scale/record.py
@@ -75,7 +75,7 @@
 
     Args:
         name: The measurement's name.
-        plan: What was played.
+        plan: The plan that was played.
         command: The command that repeats the run.
         metrics: All metrics by name.
         headline: The metric that summarizes the run.
--- a/umberusher/scale/recorder.py
+++ b/umberusher/scale/recorder.py
@@ -19,7 +19,7 @@
 from umberusher.simulated_fleet.update_history import UpdateHistory
 from umberusher.standin.clock import StepLoop
 
-# An idle connection lasts for the keepalive less a second.
+# An idle connection is closed one second before the keepalive time of 15 s has passed.
 IDLE_CONNECTION_MS = 14_000.0
 MICROSECONDS = 1e6  # in a second
 # A change newer than twice the propagation time plus this may still be in transit.
--- a/umberusher/scale/run.py
+++ b/umberusher/scale/run.py
@@ -30,7 +30,7 @@
 
 # How often the bounds are checked.
 CHECK_INTERVAL_S = 0.5
-# For a worker to exit after it was terminated.
+# Time for a worker to exit after it was terminated.
 STOP_TIMEOUT_S = 5.0
 
 SceneObserver = Callable[[str, SceneCounts], None]
@@ -63,7 +63,7 @@
     """Play the scenes in worker processes.
 
     Args:
-        plan: What to play.
+        plan: The run's plan.
         on_scene: Is called with each scene's name and counts once all workers have played it.
 
     Raises:
@@ -95,7 +95,7 @@
     """The workers of a run.
 
     Args:
-        plan: What to play.
+        plan: The run's plan.
         worker_count: How many workers to start.
         on_scene: Is called for each scene that all workers have played.
     """
--- a/umberusher/scale/scene_counts.py
+++ b/umberusher/scale/scene_counts.py
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class SceneCounts:
-    """What was counted in one scene.
+    """The counts of one scene.
 
     Attributes:
         duration_s: How long the scene was played.
--- a/umberusher/scale/scenes/base.py
+++ b/umberusher/scale/scenes/base.py
@@ -1,4 +1,4 @@
-"""What all scenes share: the time within the scene, and ordinary changes of the endpoint list."""
+"""The base class of scenes: times within the scene, and ordinary changes of the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from umberusher.scale.plan import ScenePlan
 from umberusher.scale.stage import Simulation
 
-# From a scene's start to its first event.
+# Time from a scene's start to its first event.
 SCENE_LEAD_S = 1.0
 # Time without changes at a scene's end, so that all changes come into force within the scene.
 SETTLE_S = 15.0
-# Between the end of a loss and the ordinary changes after it.
+# Time between the end of a loss and the ordinary changes after it.
 RECOVERY_S = 1.0
 
 
--- a/umberusher/scale/scenes/list_changes.py
+++ b/umberusher/scale/scenes/list_changes.py
@@ -15,9 +15,9 @@
 
 # All brokers start within this time.
 START_SPREAD_S = 2.0
-# The time for bursts in a scene that is too short to settle afterwards.
+# Minimum period of bursts, so that a scene shorter than SETTLE_S has at least one.
 BURST_PERIOD_MIN_S = 0.1
-# Between the two updates that name engines twice.
+# Time between the two updates that name engines twice.
 REPEAT_INTERVAL_S = 2.0
 
 
--- a/umberusher/scale/stage.py
+++ b/umberusher/scale/stage.py
@@ -1,4 +1,4 @@
-"""The simulated components of one worker, connected with each other, on which scenes act."""
+"""Creates and connects the simulated components of one worker, on which scenes act."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 from umberusher.simulated_fleet.update_history import UpdateHistory
 from umberusher.standin.clock import StepLoop
 
-# Long answers written at a time in a process: each takes memory, but no time on the step clock.
+# Long answers written at a time in a process. The limit bounds memory; on the step clock a write
+# takes no time.
 LONG_ANSWERS_MAX = 4
 
 
--- a/umberusher/scale/worker.py
+++ b/umberusher/scale/worker.py
@@ -45,7 +45,7 @@
 
 def run_worker(sink: Connection, plan: Plan, worker: int, workers: int) -> None:
     """Play all scenes with one worker's brokers and send the counts."""
-    # Otherwise thousands of brokers would log each lost poll.
+    # At a lower level thousands of brokers would log each lost poll.
     logging.getLogger("umberusher").setLevel(logging.CRITICAL)
     try:
         ensure_descriptor_limit(needed_descriptors(plan.size))
--- a/umberusher/simulated_fleet/answer_writer.py
+++ b/umberusher/simulated_fleet/answer_writer.py
@@ -12,7 +12,7 @@
 
 from umberusher.net.connection import Connection, RawMessage, State
 
-# Bytes handed to a connection in one message; a longer body is a long answer.
+# Bytes passed to a connection in one message; a longer body is a long answer.
 PIECE_BYTES = 1 << 16
 
 
--- a/umberusher/simulated_fleet/broker.py
+++ b/umberusher/simulated_fleet/broker.py
@@ -1,7 +1,7 @@
 """A simulated broker: the real discovery client, endpoint registry and load balancer.
 
 The wiring is that of ``broker.broker``: events go to the load balancer one at a time, and its
-actions are carried out on simulated engines. A script submits the statements.
+actions are executed on simulated engines. A script submits the statements.
 """
 
 from __future__ import annotations
@@ -43,6 +43,7 @@
 
 # The memory limit by which a broker bounds the endpoint list.
 MEMORY_MB = 256.0
+# Duration of a successful health check.
 HEALTH_CHECK_MS = 1.0
 # The timeout of a health check of an engine that does not respond.
 HEALTH_CHECK_TIMEOUT_MS = 500.0
@@ -160,9 +161,9 @@
         self._observer.list_updated(self, before, self.endpoints.revision)
 
     def post(self, event: Event) -> None:
-        """Pass an event to the load balancer and carry out its actions.
+        """Pass an event to the load balancer and execute its actions.
 
-        An event that arises while actions are carried out is queued: the load balancer is never
+        An event that arises while actions are executed is queued: the load balancer is never
         re-entered.
         """
         self._events.append(event)
--- a/umberusher/simulated_fleet/client_statements.py
+++ b/umberusher/simulated_fleet/client_statements.py
@@ -1,6 +1,6 @@
 """The statements of one simulated broker's clients, and their attempts on simulated engines.
 
-This module takes the client's side: each statement receives exactly one final answer.
+This module observes statements as a client does: each receives exactly one final answer.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     connections: dict[str, float]
 
     def post(self, event: Event) -> None:
-        """Hand an event to the load balancer."""
+        """Pass an event to the load balancer."""
 
     def call_later(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
         """Call back unless the broker has closed by then."""
@@ -83,7 +83,7 @@
     Args:
         host: The broker.
         classes: The classes that statements may be submitted for.
-        engines: The engines that attempts go to.
+        engines: The engines that attempts are sent to.
         checker: Is notified of what clients and engines send and receive.
         counts: Counts the outcomes of statements and attempts.
     """
--- a/umberusher/simulated_fleet/rule_checker.py
+++ b/umberusher/simulated_fleet/rule_checker.py
@@ -3,7 +3,7 @@
 It does not depend on the broker's internals: it is notified of answers as control machines write
 them, of attempts as they reach engines, and of final answers as clients receive them. No time
 passes on the step clock between sender and receiver, so the only tolerance is the grace of a drain.
-Memory use follows the open requests: updates are looked up in the history by number.
+Its memory depends on the open requests alone: updates are looked up in the history by number.
 """
 
 from __future__ import annotations
@@ -103,7 +103,7 @@
             notifications.popleft()
 
     def broker_stopped(self, broker: str) -> None:
-        """Forget a broker whose process has ended, and its clients' requests."""
+        """Remove a stopped broker and its clients' requests."""
         self._brokers.pop(broker, None)
 
     def request_received(
--- a/umberusher/simulated_fleet/shared_parse.py
+++ b/umberusher/simulated_fleet/shared_parse.py
@@ -1,8 +1,8 @@
 """Parses identical discovery answers once for all simulated brokers of a process.
 
 Some 260 brokers in a process receive the same bytes; parsing them for each would take most of a
-run's time. The cost of parsing is measured on a real broker. Each broker's own client still reads
-the bytes and finds the end of the answer.
+run's time. The processor time of real brokers, with parsing, is measured by ``scale.real_brokers``.
+Each broker's own client still reads the bytes and finds the end of the answer.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 # Parsed answers that are cached; fewer different answers are sent at a time.
 CACHED_DOCUMENTS_MAX = 16
-# Lists of events that are cached: a document's depend on the revision that the broker has.
+# Lists of events that are cached; a document has one for each revision that brokers have.
 CACHED_EVENT_LISTS_MAX = 4 * CACHED_DOCUMENTS_MAX
 
 
--- a/umberusher/simulated_fleet/update_history.py
+++ b/umberusher/simulated_fleet/update_history.py
@@ -58,7 +58,7 @@
     """One published update.
 
     Attributes:
-        entries: The entries that it names.
+        entries: The entries of the update.
         complete: Whether it replaces the whole list.
         changed_at_s: The time of the change, on the run's clock.
         json_text: The update in the wire format.
@@ -97,7 +97,7 @@
         """Append an update.
 
         Args:
-            entries: What the update names; an engine named twice has the later state.
+            entries: The entries of the update; an engine named twice has the later state.
             changed_at_s: The time of the change.
             complete: Whether engines that are not named are deleted.
 
