--- a/umberusher/checker/key_order.py
+++ b/umberusher/checker/key_order.py
@@ -31,16 +31,16 @@
         self.cool_downs: dict[OrderKey, float] = {}
 
     def applies_to(self, request: ObservedRequest) -> bool:
-        """Return whether the request has to keep an order."""
+        """Return whether the rule applies to a request."""
         return request.query_class in self._settings.ordered and bool(request.order_key)
 
     def append(self, request_id: str, request: ObservedRequest) -> None:
-        """Append a request that has to keep an order to its key's queue."""
+        """Append a request to its key's queue if the rule applies to it."""
         if self.applies_to(request):
             self.queues.setdefault(_key(request), deque()).append(request_id)
 
     def check_head(self, request_id: str, request: ObservedRequest, now_ms: float) -> None:
-        """Check that a request that is being sent is at the head of its key queue."""
+        """Check that a sent request is at the head of its key queue, after the cool-down."""
         if not self.applies_to(request):
             return
         key = _key(request)
--- a/umberusher/checker/requests.py
+++ b/umberusher/checker/requests.py
@@ -12,7 +12,7 @@
 from umberusher.checker.events import Outcome
 
 RETENTION_MS = 2_000.0
-"""Time for which an ended request is kept: a protocol line may cross its end."""
+"""Time for which an ended request is kept: a line in transit may arrive after its end."""
 
 
 @dataclass(slots=True)
--- a/umberusher/replay/faults.py
+++ b/umberusher/replay/faults.py
@@ -68,6 +68,7 @@
         node: The engine's name.
         back: When a crashed or draining engine serves again; None for never.
         after: Bytes of a result that are written.
+        by_ms: Delay of load reports, or of each network direction.
         rate: Bytes a second that are read.
     """
 
--- a/umberusher/standin/machine.py
+++ b/umberusher/standin/machine.py
@@ -64,7 +64,8 @@
     Attributes:
         speed: Rate of a thread below the knee.
         knee: Threads per core up to which each runs at full speed.
-        thrash: How fast the total throughput falls beyond the knee.
+        thrash: Beyond the knee the total throughput is divided by ``1 + thrash * (overload - 1)``;
+            the overload is the number of threads over the number at the knee.
         max_sessions_per_core: Limit of the queries, running and queued.
         warm_up_floor: Fraction of the capacity at the start.
     """
