--- a/umberusher/scale/run.py
+++ b/umberusher/scale/run.py
@@ -30,7 +30,7 @@
 
 # How often the bounds are checked.
 CHECK_INTERVAL_S = 0.5
-# For a worker to exit after it was terminated.
+# Time for a worker to exit after it was terminated.
 STOP_TIMEOUT_S = 5.0
 
 SceneObserver = Callable[[str, SceneCounts], None]
@@ -63,7 +63,7 @@
     """Play the scenes in worker processes.
 
     Args:
-        plan: What to play.
+        plan: The run's plan.
         on_scene: Is called with each scene's name and counts once all workers have played it.
 
     Raises:
@@ -75,7 +75,7 @@
     try:
         pool.run()
     except KeyboardInterrupt:
-        pool.stop_reason = "interrupted by a signal"
+        pool.stop_reason = "told to end"
     finally:
         pool.stop()
     played = [scene.name for scene in plan.scenes if scene.name in pool.counts]
@@ -95,7 +95,7 @@
     """The workers of a run.
 
     Args:
-        plan: What to play.
+        plan: The run's plan.
         worker_count: How many workers to start.
         on_scene: Is called for each scene that all workers have played.
     """
@@ -141,9 +141,7 @@
         try:
             message = pipe.recv()
         except EOFError:
-            message = WorkerFinished(
-                f"worker {self._pipes[pipe]} exited before it finished its scenes"
-            )
+            message = WorkerFinished(f"worker {self._pipes[pipe]} ended by itself")
         if isinstance(message, SceneFinished):
             self._add_worker_counts(message)
             return
--- a/umberusher/standin/machine.py
+++ b/umberusher/standin/machine.py
@@ -3,9 +3,9 @@
 All threads run at the same rate (processor sharing, Kleinrock 1967), so that one virtual clock
 serves all: a query with w ms of work on n threads ends when that clock has advanced by w/n, and no
 query has to be updated when the rate changes. Up to ``knee`` threads per core each thread runs at
-full speed, since a part of its work is reading and writing; beyond it the total throughput falls by
-``thrash``. An engine that has started is warming up: its capacity grows from ``warm_up_floor`` to 1
-within ``warm_up_ms``.
+full speed, since a part of its work is I/O; beyond it the total throughput falls by ``thrash``. An
+engine that has started is warming up: its capacity grows from ``warm_up_floor`` to 1 within
+``warm_up_ms``.
 """
 
 from __future__ import annotations
@@ -64,7 +64,8 @@
     Attributes:
         speed: Rate of a thread below the knee.
         knee: Threads per core up to which each runs at full speed.
-        thrash: How fast the total throughput falls beyond the knee.
+        thrash: Beyond the knee the total throughput is divided by ``1 + thrash * (overload - 1)``;
+            the overload is the number of threads over the number at the knee.
         max_sessions_per_core: Limit of the queries, running and queued.
         warm_up_floor: Fraction of the capacity at the start.
     """
