--- a/umberusher/capacity/field_reader.py
+++ b/umberusher/capacity/field_reader.py
@@ -34,7 +34,7 @@
         return self.raw[name]
 
     def text(self, name: str, allowed: Sequence[str] = ()) -> str:
-        """Return a field of one non-empty line of text, which is one of ``allowed`` if any."""
+        """Return a field of one non-empty line of text; with ``allowed`` it is one of these."""
         value = self.required(name)
         if not isinstance(value, str) or not value.strip() or "\n" in value:
             raise self.error(name, f"must be one line of text, is {value!r}")
--- a/umberusher/capacity/line_fit.py
+++ b/umberusher/capacity/line_fit.py
@@ -8,7 +8,8 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-# Relative: above the spread between rounds on one machine, below the doubling at a bend.
+# Relative difference above which a point is off the line: larger than the spread between rounds on
+# one machine, smaller than the doubling that is seen at a bend.
 BEND_TOLERANCE = 0.25
 
 
--- a/umberusher/capacity/measured_costs.py
+++ b/umberusher/capacity/measured_costs.py
@@ -16,7 +16,7 @@
 
 # Key suffix of the measurements of the version that was not yet designed for the planned size.
 EARLIER_VERSION = ".70bc7e5"
-# Relative: sizes that differ by no more than this count as the same.
+# Largest relative difference between two sizes that count as the same.
 SAME_SIZE_TOLERANCE = 0.005
 
 
--- a/umberusher/capacity/measurement.py
+++ b/umberusher/capacity/measurement.py
@@ -17,9 +17,11 @@
 
 FORMAT_VERSION = 1
 ROLES = ("broker", "discovery", "engine", "client connection", "tools")
-# Clock of the machine, clock of a scale run, or none: counts such as bytes and messages.
+# The clock of the values: that of the machine, that of a scale run, or none, for counts such as
+# bytes and messages.
 CLOCKS = ("wall", "step", "counted")
-# Relative: a stored fit is rounded to six digits.
+# Accepted relative difference between a stored fit, which is rounded to six digits, and that of the
+# points.
 FIT_TOLERANCE = 1e-3
 NAME_PATTERN = re.compile(r"[a-z0-9]+(-[a-z0-9]+)*")
 COMMIT_PATTERN = re.compile(r"[0-9a-f]{40}")
--- a/umberusher/capacity/page.py
+++ b/umberusher/capacity/page.py
@@ -20,7 +20,7 @@
     r"(?<![\w.,/])(\d[\d,]*(?:\.\d+)?) ?(us|ms|s|min|h|KB/s|KB|MB|GB|%|cores?|times)(?![\w/])"
 )
 QUOTED_MEASUREMENT = re.compile(r"^\| `([a-z0-9.-]+)` \|")
-# Relative: a number of the plan may be rounded in prose.
+# Accepted relative difference of a number in prose, where numbers of the plan may be rounded.
 ROUNDING_TOLERANCE = 0.005
 # Characters shown before and after the position where two lines differ.
 EXCERPT_CHARS_BEFORE = 30
--- a/umberusher/capacity/roles/fleet.py
+++ b/umberusher/capacity/roles/fleet.py
@@ -71,7 +71,7 @@
             if no_updates
             else ()
         ),
-        # The scene of update bursts plays them far closer together than they occur in a day, so
+        # The scene of update bursts sends them far closer together than they occur in a day, so
         # its bytes per second do not describe the planned size and have no budget. A day's bursts
         # are a row of the broker.
         RowDefinition(
--- a/umberusher/capacity/roles/formulas.py
+++ b/umberusher/capacity/roles/formulas.py
@@ -17,7 +17,7 @@
 
 
 def size_ratio(source: MeasurementSource) -> Formula:
-    """Return the formula of the ratio of a cost at the planned size to that at the compared one."""
+    """Return the formula of a cost at the planned size over that at ``plan.engines_compared``."""
     return lambda costs: costs.cost(source, costs.plan.engines) / costs.cost(
         source, costs.plan.engines_compared
     )
--- a/umberusher/capacity/units.py
+++ b/umberusher/capacity/units.py
@@ -29,7 +29,7 @@
     "statement",
     "zone",
 )
-# How much of a rejected value error messages show.
+# The number of characters of a rejected value that error messages show.
 SHOWN_VALUE_MAX_CHARS = 40
 SIGNIFICANT_DIGITS = 3
 VOWELS = "aei"
@@ -115,7 +115,7 @@
 
 
 def is_number(value: object) -> TypeGuard[float]:
-    """Return whether a value is a finite number; a boolean is none."""
+    """Return whether a value is a finite number; a boolean is not a number."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
     return math.isfinite(value)
--- a/umberusher/commands/demo.py
+++ b/umberusher/commands/demo.py
@@ -1,4 +1,4 @@
-"""``demo``: a short example without input files: a synthetic trace, its plan, a replay with faults, a report page."""
+"""``demo``: generates a synthetic trace and its plan, replays it with faults and writes a report page."""
 
 from __future__ import annotations
 
--- a/umberusher/commands/scale_run.py
+++ b/umberusher/commands/scale_run.py
@@ -21,8 +21,8 @@
 
 Figures = Mapping[str, Metric]
 
-# The name of a scene's figure for its slowest change, and the suffix of such figures of the phases
-# with real brokers.
+# The figure for the slowest change: its name in a scene, and the suffix of its names in the phases with
+# real brokers.
 SLOWEST_CHANGE = "change in force at the last broker, largest"
 REAL_SLOWEST_SUFFIX = "in force, largest"
 # The figures that are printed; the JSON holds all figures.
--- a/umberusher/commands/tools.py
+++ b/umberusher/commands/tools.py
@@ -1,6 +1,6 @@
 """Shared code of the tool commands: log by structlog, progress bars by rich, JSON files.
 
-``serve`` never imports this module: the libraries take memory that a broker does not have.
+``serve`` never imports this module: the libraries take more memory than a broker can spare.
 """
 
 from __future__ import annotations
--- a/umberusher/pg/pool.py
+++ b/umberusher/pg/pool.py
@@ -16,9 +16,9 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-# On one server session; beyond that the least recently used statement is closed.
+# Limit of one server session; at the limit the least recently used statement is closed for a new one.
 MAX_PREPARED_STATEMENTS = 512
-# After that many groups an idle session is closed, because the memory of server processes grows slowly.
+# After this many groups an idle session is closed, because the memory of server processes grows slowly.
 MAX_SERVED_GROUPS = 50_000
 DISCARD_ALL = "DISCARD ALL"
 
--- a/umberusher/pg/server.py
+++ b/umberusher/pg/server.py
@@ -1,4 +1,4 @@
-"""The state machine of a session at a server, without I/O: takes a client's groups, returns the server's responses.
+"""The state machine of a session at a server, without I/O: encodes a client's groups, returns the server's responses.
 
 This module decides what is sent for a group and which responses belong to the client. A client's statement names are
 mapped to names of the broker, so that a statement is prepared on a server that lacks it and reused on one that has it.
--- a/umberusher/pg/session.py
+++ b/umberusher/pg/session.py
@@ -1,4 +1,4 @@
-"""The state machine of a client's session, without I/O: takes the client's bytes, emits replies and requests.
+"""The state machine of a client's session, without I/O: decodes the client's bytes, emits replies and requests.
 
 This module decides which messages a client may send in which state, and which of them form one request. The states are
 START -> (SSL) -> AUTH -> IDLE -> GROUP -> ... -> OVER.
@@ -21,7 +21,7 @@
 from umberusher.pg.codec import Decoder, Message, Unreadable, message
 from umberusher.pg.messages import Side
 
-# With that many groups of a pipeline pending, reading from the client pauses.
+# Reading from the client pauses while this many groups of a pipeline are pending.
 MAX_GROUPS = 64
 MAX_GROUP_BYTES = 4 << 20  # bounds memory if the Sync never arrives
 # Limits of one session; the bytes are those of all its Parse messages together.
@@ -147,7 +147,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """The connection is no session: a client wants a request of another session cancelled."""
+    """The connection is not a session: it carries a request to cancel the work of another session."""
 
     pid: int
     secret: bytes
--- a/umberusher/traces/ordering.py
+++ b/umberusher/traces/ordering.py
@@ -35,8 +35,9 @@
     Rows older than the window are rejected as out of order, repeated ones as duplicates. Rows that
     arrive in order are kept in a queue, the others in a heap: most rows of an ordered file then
     need no comparison with other rows (docs/traces.md has the cost). Rows with equal times keep the
-    order of the files. A duplicate has the time of the first row, so only the identities of the
-    rows with the time released last are kept.
+    order of the files. A duplicate has the same time as the row that it repeats, so rows are only
+    compared with those of the same time, and only the identities of the time that was released last
+    are stored.
     """
 
     def __init__(self, window_us: int, tally: Tally, max_rows: int = MAX_BUFFERED_ROWS) -> None:
--- a/umberusher/traces/patterns.py
+++ b/umberusher/traces/patterns.py
@@ -45,7 +45,7 @@
 TASK_COUNT_PARETO_SHAPE = 1.3
 MAX_USERS = 60
 MAX_MACHINES = 12_000
-SCHEDULE_DELAY_US = (1_000, 400_000)
+SCHEDULE_DELAY_US = (1_000, 400_000)  # shortest and longest time from SUBMIT to SCHEDULE
 LOOKUP_FRACTION = 0.81
 NON_LOAD_FRACTION = 0.948
 
@@ -53,14 +53,16 @@
 FIRST_MACHINE_ID = 1_000_000
 MACHINE_ID_RANGE = 9_000_000
 PLATFORM = "HofLGzk1Or/8Ildj2+Lqv0UGGvY82NLoni8+J/Yy0RU="
-LOSS_START_FRACTION = 0.35  # of the trace's duration
+# When the first machine is removed and added again, as fractions of the trace's duration.
+LOSS_START_FRACTION = 0.35
 RECOVERY_START_FRACTION = 0.6
+# Between the events of two machines.
 LOSS_STEP_US = 200_000
 RECOVERY_STEP_US = 1_500_000
 
 
 def intensity(pattern: str, duration_s: float) -> Callable[[float], float]:
-    """Return a function of the time in seconds: the rate then, as a multiple of the mean rate."""
+    """Return a function from a time in seconds to the rate then, as a multiple of the set rate."""
     if pattern == Pattern.FLASH_CROWD:
         start_s = FLASH_CROWD_START_FRACTION * duration_s
         length_s = min(MAX_FLASH_CROWD_S, duration_s / FLASH_CROWD_DIVISOR)
--- a/umberusher/traces/reader.py
+++ b/umberusher/traces/reader.py
@@ -27,7 +27,7 @@
 
 DEFAULT_REORDER_S = 10.0
 SPECIAL_TIME_US = -1
-"""The time given to rows from before the published window."""
+"""The time of rows that have none, and of rows with time 0, from before the published window."""
 PROGRESS_LINE_BITS = 13
 """Progress is reported once per ``2 ** PROGRESS_LINE_BITS`` lines."""
 
--- a/umberusher/traces/streams.py
+++ b/umberusher/traces/streams.py
@@ -1,4 +1,4 @@
-"""Reads files as lines: plain, gzip or zstd, which their first bytes distinguish.
+"""Reads plain, gzip and zstd files as lines; the first bytes of a file show its format.
 
 The complete lines of a truncated stream are read. Sources: RFC 1952 (gzip, also with several
 members), RFC 8878 (zstd, also with several frames).
@@ -19,7 +19,7 @@
 MAX_LINE_BYTES = 1 << 20
 """Bounds the memory for a file without line feeds."""
 MAX_ZSTD_WINDOW_BYTES = 1 << 27
-GZIP_WINDOW_BITS = 31  # of zlib: the largest window, with a gzip header
+GZIP_WINDOW_BITS = 31  # zlib's ``wbits``: the largest window (15), plus 16 for the gzip format
 GZIP_MAGIC = b"\x1f\x8b"
 ZSTD_MAGIC = b"\x28\xb5\x2f\xfd"
 BYTE_ORDER_MARK = b"\xef\xbb\xbf"
