--- a/scripts/measure_deadlines.py
+++ b/scripts/measure_deadlines.py
@@ -3,12 +3,13 @@
     python scripts/measure_deadlines.py [--seconds 700] [--jobs 6] [--only NAME ...]
 
 Each case is a replay on the step clock in its own process: about 150 requests per second to 6 stand-in engines and 2
-brokers, a third of them with less than 0.4 s left, and a fifth of the clients disconnecting early. The faults by case:
+brokers; a third of them arrive with less than 0.4 s until their deadline, and a fifth of the clients disconnect early.
+The faults by case:
 
     plain      none
     delays     network delays of 3, 12 and 40 ms to three engines, in each direction
     slow       two engines repeatedly read only 10 and 2,000 bytes per second for some seconds
-    stalls     all participants stand still for 0.5 s, every 30 s
+    stalls     every 30 s the clock runs for 0.5 s in which no participant does
     skew       clocks of engines 3 s ahead or behind, alternating; one engine restarts every 120 s
     all        all of them
 
--- a/scripts/measure_slopes.py
+++ b/scripts/measure_slopes.py
@@ -53,7 +53,7 @@
 MODULE_ENGINE_COUNTS = (6, 32, 64, 256, 1_000, 4_000)  # engines in the list of the decision module
 CHANGE_RATES = (0.57, 2.0, 6.0, 12.0, 20.0)  # changes per second; the first is 49,000 a day
 BATCH_SIZES = (100, 400, 1_000, 2_000, 4_000)  # entries of one large change
-CONNECTION_COUNTS = (30, 100, 300, 1_000, 3_000)
+CONNECTION_COUNTS = (30, 100, 300, 1_000, 3_000)  # idle client connections
 STATEMENT_RATES = (100.0, 250.0, 500.0, 1_000.0, 2_000.0, 4_000.0)  # per second
 # Brokers per discovery machine: 110 with 19 machines, 330 after two thirds of the machines are lost.
 FOLLOWER_COUNTS = (10, 30, 110, 220, 330)
@@ -75,7 +75,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Return the user and system time of a process, by its clock because /proc/PID/stat counts in 10 ms."""
+    """Return the user and system time of a process from its CPU clock; /proc/PID/stat counts in 10 ms."""
     return time.clock_gettime((~pid << 3) | CPU_CLOCK)
 
 
@@ -285,7 +285,7 @@
         windows = {}
         for length in LIST_LENGTHS:
             if missing["broker-start-ready"][length]:
-                continue  # this length has reached SETTLE_TIMEOUT_S in an earlier round
+                continue  # an earlier round timed out after SETTLE_TIMEOUT_S at this length
             discovery, broker = start_discovery_and_broker(resources, root, length)
             ready = broker.wait_until_ready(SETTLE_TIMEOUT_S)
             counts = wait_until_settled(discovery, broker)
@@ -324,7 +324,7 @@
 
 
 def run_worker(root: str, *arguments: object) -> dict[str, Any]:
-    """Run slopes_worker.py in a process of that version."""
+    """Run slopes_worker.py on the version in ``root``, in a separate process; return its results."""
     process = subprocess.run(
         [sys.executable, str(SCRIPTS / "slopes_worker.py"), *map(str, arguments)],
         cwd=root,
@@ -920,7 +920,7 @@
 
 
 def describe_machine() -> dict[str, Any]:
-    """Return the description of the machine that a measurement holds."""
+    """Return the description of this machine for a measurement's file."""
     cpu = next(
         (
             line.partition(":")[2].strip()
--- a/scripts/measure_subsets.py
+++ b/scripts/measure_subsets.py
@@ -36,7 +36,10 @@
 
 
 def rendezvous(engines: list[str], brokers: int, held: int) -> Callable[[int], set[str]]:
-    """Each broker holds the engines with the smallest hash with its own name: as even as a random draw."""
+    """Rendezvous hashing: a broker holds the engines with the smallest hashes salted by its index.
+
+    The balance is that of a random draw.
+    """
     hashes = {engine: int(_hash(engine, 0) * 2**64) for engine in engines}
 
     def engines_of(index: int) -> set[str]:
@@ -51,7 +54,10 @@
 
 
 def shuffled(engines: list[str], brokers: int, held: int) -> Callable[[int], set[str]]:
-    """Each round of brokers cuts a shuffle of the sorted list in pieces ("Site Reliability Engineering", chapter 20)."""
+    """Deterministic subsetting ("Site Reliability Engineering", chapter 20).
+
+    The brokers of one round split a shuffle of the sorted list, which is the same for all of them, into pieces.
+    """
     pieces = max(len(engines) // held, 1)
 
     def engines_of(index: int) -> set[str]:
--- a/scripts/slopes_discovery.py
+++ b/scripts/slopes_discovery.py
@@ -4,7 +4,7 @@
 
 It is independent of the broker's code and the same for each version that is measured. The first line of output is its
 port; after that each line of JSON on its input is a command, which is answered by one line with the counts:
-{"do": "told"} does nothing else, {"do": "change", "entries": n} publishes n changes in one notice, {"do": "rate",
+{"do": "told"} only returns them, {"do": "change", "entries": n} publishes n changes in one notice, {"do": "rate",
 "per_s": r} publishes one change r times per second from now on (0: none), {"do": "end"} stops the process. Each notice
 is encoded once for all brokers; the full list is encoded once for each revision.
 """
--- a/scripts/slopes_worker.py
+++ b/scripts/slopes_worker.py
@@ -2,9 +2,9 @@
 
     PYTHONPATH=ROOT python scripts/slopes_worker.py list LENGTH       # a broker's list and decisions, wired as in serve
     PYTHONPATH=ROOT python scripts/slopes_worker.py lump LENGTH       # the same, with changes of many entries
-    PYTHONPATH=ROOT python scripts/slopes_worker.py module TOLD       # the decision module alone, with TOLD engines
+    PYTHONPATH=ROOT python scripts/slopes_worker.py module TOLD       # the decision module alone, TOLD engines listed
 
-The measured code runs on a simulated clock that stands still during each call; the results are time.process_time.
+The measured code runs on a simulated clock that stands still during each call; the results are processor times.
 Stand-ins replace the handlers of actions: an attempt is answered 5 ms after it is sent, as is a health check.
 """
 
@@ -55,7 +55,7 @@
 )
 BROKER_COUNT = 2_100
 MAX_CPU_S = 4.0  # limit of processor time for one result
-BATCH_SIZES = (100, 400, 1_000, 2_000, 4_000)
+BATCH_SIZES = (100, 400, 1_000, 2_000, 4_000)  # entries of one change
 
 
 def site_settings() -> dict[str, Any]:
