--- a/umberusher/net/connection.py
+++ b/umberusher/net/connection.py
@@ -414,7 +414,7 @@
             self.close(_describe("read", error.errno))
             return False
         if not count:
-            self.close("closed by the peer")
+            self.close("ended by the other side")
             return False
         self._call_hook(self.on_data)
         return True
